--- a/bench/mesh.py
+++ b/bench/mesh.py
@@ -129,7 +129,7 @@
             for other in members:
                 if other is not me:
                     node.view.merge(other, self.clock())
-            node.view._sends_left_by_node.clear()
+            node.view._transmissions_left_by_node.clear()
             self.node_by_port[me.port] = node
 
     async def start(self) -> None:
@@ -174,7 +174,7 @@
     async def _run(self, node: MeshNode) -> None:
         await asyncio.sleep(self._random.random() * self.timing.gossip)
         while node.alive:
-            await node.gossiper.round()
+            await node.gossiper.run_round()
             pause = self.timing.gossip * self._random.uniform(0.7, 1.3)
             await asyncio.sleep(pause)
 
--- a/features/steps/lost_exchanges_steps.py
+++ b/features/steps/lost_exchanges_steps.py
@@ -12,9 +12,9 @@
 from wagtailcleat.configuration.models import Configuration
 from wagtailcleat.ids import Revision, ShardId
 from wagtailcleat.membership.view import (
-    BUCKETS,
+    BUCKET_COUNT,
+    CHECKSUM_MASK,
     GONE,
-    SUM_MASK,
     View,
     _bucket,
     _fingerprint,
@@ -73,7 +73,7 @@
             view.expire(now, suspicion=3, forget_lost=50)
         live = [m for m in view.member_by_node.values() if m.state not in GONE]
         assert view.live() == live
-        assert view.sums() == _walked_sums(live)
+        assert view.bucket_checksums() == _walked_sums(live)
         for shard in map(ShardId, range(SHARDS)):
             owners = [m for m in live if shard in m.shards]
             newest = max(owners, key=lambda m: m.version, default=None)
@@ -90,8 +90,8 @@
 
 
 def _walked_sums(live):
-    sums = [0] * BUCKETS
+    sums = [0] * BUCKET_COUNT
     for one in live:
         index = _bucket(one.node)
-        sums[index] = (sums[index] + _fingerprint(one)) & SUM_MASK
+        sums[index] = (sums[index] + _fingerprint(one)) & CHECKSUM_MASK
     return sums
--- a/wagtailcleat/membership/__init__.py
+++ b/wagtailcleat/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who is there: gossip, a hint only."""
+"""Cluster membership by gossip: eventually consistent, never authoritative."""
--- a/wagtailcleat/membership/freshness.py
+++ b/wagtailcleat/membership/freshness.py
@@ -1,9 +1,11 @@
-"""Whether this process's view may be acted on, or stems from before a pause.
+"""Detects that this process was paused, so that nobody acts on a stale view.
 
-A paused VM goes on where it stopped, with a view in which a zone is still in and
-a leaving endpoint still takes work. It shows as a gap between two turns of the
-event loop. Until one peer has been heard again the view counts as stale; that
-takes milliseconds, and closes the time between the thaw and the first news.
+Every node runs a `Freshness`; entry and agent consult it before they act on the
+membership view or the configuration. A VM that was paused resumes with its old view,
+in which a zone may still be in or a leaving endpoint may still accept requests. The
+pause shows as a gap between two checks on the event loop. From then on the view
+counts as stale until one peer has answered, which takes milliseconds; this covers
+the time between the resumption and the first update from a peer.
 """
 
 import asyncio
@@ -14,49 +16,49 @@
 
 log = part_logger("freshness")
 
-BEAT_SECONDS = 0.2
-PAUSE_SECONDS = 1.0
-REFRESH_PAUSE_SECONDS = 0.05
+CHECK_INTERVAL_SECONDS = 0.2
+PAUSE_THRESHOLD_SECONDS = 1.0
+REFRESH_RETRY_SECONDS = 0.05
 
 Refresh = Callable[[], Awaitable[bool]]
-"""Hears a peer anew; tells whether one answered, or there is none to ask."""
+"""Exchanges views with a peer; returns whether one answered or no peer is known."""
 
 
 class Freshness:
-    """Beats with the event loop, and refreshes the view after a gap."""
+    """Detects pauses of this process, and refreshes the view after each of them."""
 
     def __init__(self, clock: Clock, refresh: Refresh) -> None:
-        """Start fresh."""
+        """Treat the view as fresh, and renew it by `refresh` after a pause."""
         self.pauses = 0
         self._clock = clock
         self._refresh = refresh
-        self._beat_at = clock()
+        self._last_check_at = clock()
         self._stale = False
 
     def fresh(self, now: float) -> bool:
-        """Tell whether the view may be acted on.
+        """Return whether the view may be acted on at `now`; mark it stale if not.
 
-        A handler may run before the beat does after a pause, so the gap is looked
-        for here as well.
+        The gap is measured here as well as in `run`, because after a pause a message
+        handler may run before the next periodic check does.
         """
-        if now - self._beat_at > PAUSE_SECONDS:
+        if now - self._last_check_at > PAUSE_THRESHOLD_SECONDS:
             self._stale = True
         return not self._stale
 
     async def run(self) -> None:
-        """Beat until cancelled."""
-        self._beat_at = self._clock()
+        """Check for a pause at each interval, until cancelled."""
+        self._last_check_at = self._clock()
         while True:
-            await asyncio.sleep(BEAT_SECONDS)
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
             now = self._clock()
             if not self.fresh(now):
-                await self._after_pause(now - self._beat_at)
-            self._beat_at = self._clock()
+                await self._recover_from_pause(now - self._last_check_at)
+            self._last_check_at = self._clock()
 
-    async def _after_pause(self, seconds: float) -> None:
+    async def _recover_from_pause(self, seconds: float) -> None:
         self.pauses += 1
         log.warning("This process was paused", extra={"seconds": round(seconds, 3)})
         while not await self._refresh():
-            self._beat_at = self._clock()
-            await asyncio.sleep(REFRESH_PAUSE_SECONDS)
+            self._last_check_at = self._clock()
+            await asyncio.sleep(REFRESH_RETRY_SECONDS)
         self._stale = False
--- a/wagtailcleat/membership/identity.py
+++ b/wagtailcleat/membership/identity.py
@@ -1,10 +1,12 @@
-"""Refuses to start a process whose name another living process has.
+"""Refuses to start a process whose node name another running process has.
 
-Two processes of one name would take turns in everybody's view, and each would be
-sent work that the other knows nothing of: it shows when settings are copied to a
-new VM and the old one still runs. Seeds are asked whom they know by this name, and
-that process whether it still answers. One that is gone or paused does not answer,
-so its replacement may start; it is fenced by its lower incarnation.
+The daemon calls `refuse_taken_name` before it joins the gossip. Two processes of one
+name would replace each other's record in every view, and each would be sent work that
+the other does not know of; this happens when settings are copied to a new VM while
+the old one still runs. Each seed is asked which member it knows by this name, and
+that process is asked whether it still runs. A process that has ended or is paused
+does not answer, so its replacement may start; the old process is then fenced by its
+lower incarnation.
 """
 
 import asyncio
@@ -16,44 +18,48 @@
 from wagtailcleat.wire.membership import CompareViews, Member, Members
 from wagtailcleat.wire.peers import Peers
 
-ASK_SECONDS = 2.0
-SECTIONS = ["node", "incarnation"]
+CALL_TIMEOUT_SECONDS = 2.0
+DUMP_SECTIONS = ["node", "incarnation"]
 
 
 async def refuse_taken_name(
     view: View, peers: Peers, seeds: list[tuple[str, int]]
 ) -> None:
-    """Return if no living process is known to have this node's name.
+    """Return if no other running process is known to have this node's name.
 
     Raises:
-        IdentityError: one has it.
+        IdentityError: another process has the name and answers.
 
     """
-    known = await asyncio.gather(*(_known(view, peers, seed) for seed in seeds))
-    address_by_incarnation = {m.incarnation: (m.host, m.port) for m in known if m}
+    found = await asyncio.gather(*(_find_duplicate(view, peers, s) for s in seeds))
+    address_by_incarnation = {m.incarnation: (m.host, m.port) for m in found if m}
     addresses = set(address_by_incarnation.values()) - {(view.me.host, view.me.port)}
-    answers = await asyncio.gather(*(_lives(view, peers, a) for a in addresses))
+    answers = await asyncio.gather(*(_is_running(view, peers, a) for a in addresses))
     if any(answers):
-        places = ", ".join(f"{host}:{port}" for host, port in sorted(addresses))
+        address_list = ", ".join(f"{host}:{port}" for host, port in sorted(addresses))
         raise IdentityError(
-            f"another process named '{view.me.node}' runs at {places}: stop it first,"
-            " or give this one a `node` name of its own"
+            f"another process named '{view.me.node}' runs at {address_list}: stop it"
+            " first, or give this one a `node` name of its own"
         )
 
 
-async def _known(view: View, peers: Peers, seed: tuple[str, int]) -> Member | None:
+async def _find_duplicate(
+    view: View, peers: Peers, seed: tuple[str, int]
+) -> Member | None:
     if seed == (view.me.host, view.me.port):
         return None
-    ask = CompareViews(view.sums())
-    answer = await peers.call(*seed, ask, timeout=ASK_SECONDS)
+    request = CompareViews(view.bucket_checksums())
+    answer = await peers.call(*seed, request, timeout=CALL_TIMEOUT_SECONDS)
     if not isinstance(answer, Members):
         return None
-    same = (m for m in answer.members if m.node == view.me.node)
-    return next((m for m in same if m.incarnation != view.me.incarnation), None)
+    same_name = (m for m in answer.members if m.node == view.me.node)
+    return next((m for m in same_name if m.incarnation != view.me.incarnation), None)
 
 
-async def _lives(view: View, peers: Peers, address: tuple[str, int]) -> bool:
-    answer = await peers.call(*address, DumpState(SECTIONS), timeout=ASK_SECONDS)
+async def _is_running(view: View, peers: Peers, address: tuple[str, int]) -> bool:
+    answer = await peers.call(
+        *address, DumpState(DUMP_SECTIONS), timeout=CALL_TIMEOUT_SECONDS
+    )
     if not isinstance(answer, Dump):
         return False
     state = json.loads(answer.text)
--- a/wagtailcleat/membership/view.py
+++ b/wagtailcleat/membership/view.py
@@ -1,8 +1,11 @@
-"""What a node knows of the others; a hint, never the ground of a promise.
+"""One node's view of the cluster members, as gossip reports them.
 
-Full membership is kept rather than a bounded view: at the target size it takes
-well under a megabyte, and lost members that are remembered and probed heal a
-partition as a random long-term memory would (docs/DESIGN.md weighs the two).
+Gossip merges updates into it; routing, placement and shard ownership read it. It is
+eventually consistent, so whatever needs a guarantee must not rest on it.
+
+The view holds all members rather than a bounded sample of them: at the target size
+it takes well under a megabyte. Lost members are remembered and probed, which heals a
+partition as a random long-term memory would (docs/DESIGN.md compares the two).
 """
 
 import math
@@ -18,13 +21,14 @@
 from wagtailcleat.wire.handshake import Role
 from wagtailcleat.wire.membership import Member, MemberState
 
-BUCKETS = 64
-SUM_MASK = 0xFFFFFFFF
-MAX_RUMOURS_A_MESSAGE = 24
-SENDS_PER_DOUBLING = 1
+BUCKET_COUNT = 64
+CHECKSUM_MASK = 0xFFFFFFFF
+MAX_UPDATES_PER_MESSAGE = 24
+RETRANSMIT_MULTIPLIER = 1
+"""An update is sent this many times for each doubling of the member count."""
 GONE = (MemberState.LOST, MemberState.LEFT)
-AGING = (MemberState.SUSPECT, *GONE)
-STRENGTH_BY_STATE = {
+EXPIRING_STATES = (MemberState.SUSPECT, *GONE)
+PRECEDENCE_BY_STATE = {
     MemberState.ALIVE: 0,
     MemberState.LEAVING: 0,
     MemberState.SUSPECT: 1,
@@ -34,19 +38,23 @@
 
 
 def supersedes(new: Member, old: Member) -> bool:
-    """Tell whether `new` is later news of the same node than `old`."""
+    """Return whether `new` replaces `old`, a record of the same node.
+
+    The higher incarnation and version wins; between equals the state decides, since
+    a suspicion carries the version that it refers to.
+    """
     if (new.incarnation, new.version) != (old.incarnation, old.version):
         return (new.incarnation, new.version) > (old.incarnation, old.version)
-    return STRENGTH_BY_STATE[new.state] > STRENGTH_BY_STATE[old.state]
+    return PRECEDENCE_BY_STATE[new.state] > PRECEDENCE_BY_STATE[old.state]
 
 
 @dataclass
 class _Index:
-    """Members by what they are asked for; made anew after a change.
+    """Members by state, role, service and shard; rebuilt after each change of the view.
 
-    Members are asked for at each request, exchange and round of claims, and change
-    some hundred times a day: a walk over all of them each time took more of a core
-    than a daemon may use.
+    Members are looked up at each request, exchange and claim round, but change only
+    some hundred times a day. Walking over all of them at each look-up took a larger
+    share of a core than a daemon may use.
     """
 
     live: list[Member] = field(default_factory=list)
@@ -54,13 +62,13 @@
     agents: list[Member] = field(default_factory=list)
     agents_by_service: dict[ServiceName, list[Member]] = field(default_factory=dict)
     owner_by_shard: dict[ShardId, Member] = field(default_factory=dict)
-    aging: list[Member] = field(default_factory=list)
-    """Those whose state changes with time: suspect, lost or left."""
+    expiring: list[Member] = field(default_factory=list)
+    """Members whose state changes with time: suspect, lost or left."""
 
     def add(self, member: Member, *, is_me: bool) -> None:
-        """Add a member."""
-        if member.state in AGING:
-            self.aging.append(member)
+        """Add a member to every list and mapping that it belongs to."""
+        if member.state in EXPIRING_STATES:
+            self.expiring.append(member)
         if member.state in GONE:
             return
         self.live.append(member)
@@ -78,69 +86,76 @@
 
 
 class View:
-    """All members by node, with what changed lately for others to hear."""
+    """All known members by node, and the updates that are still to be gossiped.
+
+    A member is gone when its state is lost or left.
+    """
 
     def __init__(self, me: Member, rng: random.Random) -> None:
-        """Know only oneself."""
+        """Create a view that holds only `me`, the record of this node."""
         self.me = me
         self.member_by_node: dict[NodeId, Member] = {me.node: me}
-        self._sums = [0] * BUCKETS
+        self._checksum_by_bucket = [0] * BUCKET_COUNT
         self._index: _Index | None = None
-        self._add_to_sums(me, 1)
+        self._add_to_checksums(me, 1)
         self.changed_at_by_node: dict[NodeId, float] = {}
         self.free_by_node: dict[NodeId, tuple[Resources, float]] = {}
-        self._sends_left_by_node: dict[NodeId, int] = {}
+        """Free resources that each node reported, and when."""
+        self._transmissions_left_by_node: dict[NodeId, int] = {}
         self._random = rng
 
     def __repr__(self) -> str:
         """Show the node and how many members it knows."""
         return f"<View of {self.me.node}: {len(self.member_by_node)} members>"
 
-    # ---- reading
-
     def live(self) -> list[Member]:
-        """Return all members that are not gone, oneself among them."""
-        return list(self._indexed().live)
+        """Return all members that are not gone, including this node."""
+        return list(self._current_index().live)
 
     def others(self) -> list[Member]:
-        """Return all members that are not gone, without oneself."""
-        return list(self._indexed().others)
+        """Return all members that are not gone, except this node."""
+        return list(self._current_index().others)
 
     def agents(self) -> list[Member]:
         """Return all agents that are not gone."""
-        return list(self._indexed().agents)
+        return list(self._current_index().agents)
 
     def serving(self, service: ServiceName) -> list[Member]:
         """Return the agents whose endpoint serves `service`."""
-        return list(self._indexed().agents_by_service.get(service, []))
+        return list(self._current_index().agents_by_service.get(service, []))
 
     def owner(self, shard: ShardId) -> Member | None:
-        """Return the member that says it owns `shard`; the newest, if two do."""
-        return self._indexed().owner_by_shard.get(shard)
+        """Return the member that reports owning `shard`.
+
+        If several do, return the one with the highest version; if none, None.
+        """
+        return self._current_index().owner_by_shard.get(shard)
 
     def digest(self) -> int:
-        """Return one number that is equal where two views are."""
-        return sum(self._sums) & SUM_MASK
+        """Return a checksum of the whole view; equal views have equal digests."""
+        return sum(self._checksum_by_bucket) & CHECKSUM_MASK
 
-    def sums(self) -> list[int]:
-        """Return a sum for each bucket of members that are not gone."""
-        return list(self._sums)
+    def bucket_checksums(self) -> list[int]:
+        """Return the checksum of each bucket over its members that are not gone."""
+        return list(self._checksum_by_bucket)
 
-    def differing(self, sums: list[int]) -> list[int]:
-        """Return the buckets whose sums differ from `sums`."""
+    def differing_buckets(self, checksums: list[int]) -> list[int]:
+        """Return the buckets whose checksums differ from `checksums`."""
         return [
-            i for i, (a, b) in enumerate(zip(self._sums, sums, strict=False)) if a != b
+            i
+            for i, (a, b) in enumerate(
+                zip(self._checksum_by_bucket, checksums, strict=False)
+            )
+            if a != b
         ]
 
-    def in_buckets(self, buckets: Iterable[int]) -> list[Member]:
-        """Return all members of the buckets, gone ones too."""
+    def members_in_buckets(self, buckets: Iterable[int]) -> list[Member]:
+        """Return all members of `buckets`, including those that are gone."""
         wanted = set(buckets)
         return [m for n, m in self.member_by_node.items() if _bucket(n) in wanted]
 
-    # ---- changing
-
     def merge(self, member: Member, now: float) -> bool:
-        """Take news of a member; tell whether it was news."""
+        """Merge a received record; return whether it changed the view."""
         if member.node == self.me.node:
             return self._refute(member, now)
         known = self.member_by_node.get(member.node)
@@ -152,35 +167,36 @@
         return True
 
     def merge_all(self, members: Iterable[Member], now: float) -> list[Member]:
-        """Take news of many members; return those that were news."""
+        """Merge received records; return those that changed the view."""
         return [member for member in members if self.merge(member, now)]
 
     def change_me(self, now: float, **changes: object) -> None:
-        """Change one's own record, and let it be heard."""
+        """Change this node's record, and queue the change for gossip."""
         self.me = msgspec.structs.replace(
             self.me, version=self.me.version + 1, **changes
         )
         self._put(self.me, now)
 
     def suspect(self, node: NodeId, now: float) -> None:
-        """Note that a member did not answer."""
-        self._weaken(
+        """Mark a member that did not answer as suspect."""
+        self._change_state(
             node, (MemberState.ALIVE, MemberState.LEAVING), MemberState.SUSPECT, now
         )
 
     def expire(
         self, now: float, *, suspicion: float, forget_lost: float
     ) -> list[Member]:
-        """Declare long-suspected members lost, forget long-gone ones.
+        """Declare members lost that stayed suspect; forget members that stayed gone.
 
-        Parameters: `suspicion` and `forget_lost` in seconds. Returns the lost.
+        Parameters: `suspicion` and `forget_lost` are the seconds after which each
+        happens. Returns the members declared lost.
         """
         lost = []
-        for member in self._indexed().aging:
+        for member in self._current_index().expiring:
             node = member.node
             age = now - self.changed_at_by_node.get(node, now)
             if member.state is MemberState.SUSPECT and age > suspicion:
-                self._weaken(node, (MemberState.SUSPECT,), MemberState.LOST, now)
+                self._change_state(node, (MemberState.SUSPECT,), MemberState.LOST, now)
                 lost.append(self.member_by_node[node])
             elif member.state in GONE and age > forget_lost:
                 del self.member_by_node[node]
@@ -189,65 +205,71 @@
         return lost
 
     def note_free(self, node: NodeId, free: Resources, now: float) -> None:
-        """Note what a member said it has free."""
+        """Record the free resources that a node reported at `now`."""
         self.free_by_node[node] = (free, now)
 
-    # ---- spreading
+    def take_updates(self) -> list[Member]:
+        """Return the updates to send next, and count each as sent once more.
 
-    def rumours(self) -> list[Member]:
-        """Return the latest news, and count it as told once more."""
-        nodes = sorted(self._sends_left_by_node, key=self._sends_left, reverse=True)
-        told = nodes[:MAX_RUMOURS_A_MESSAGE]
-        for node in told:
-            self._sends_left_by_node[node] -= 1
-            if self._sends_left_by_node[node] <= 0:
-                del self._sends_left_by_node[node]
-        return [self.member_by_node[n] for n in told if n in self.member_by_node]
+        Updates with the most transmissions left come first. An update leaves the
+        queue with its last transmission.
+        """
+        nodes = sorted(
+            self._transmissions_left_by_node, key=self._transmissions_left, reverse=True
+        )
+        sent = nodes[:MAX_UPDATES_PER_MESSAGE]
+        for node in sent:
+            self._transmissions_left_by_node[node] -= 1
+            if self._transmissions_left_by_node[node] <= 0:
+                del self._transmissions_left_by_node[node]
+        return [self.member_by_node[n] for n in sent if n in self.member_by_node]
 
-    def has_rumours(self) -> bool:
-        """Tell whether news is left to tell."""
-        return bool(self._sends_left_by_node)
+    def has_pending_updates(self) -> bool:
+        """Return whether updates are still to be sent."""
+        return bool(self._transmissions_left_by_node)
 
     def pick(self, count: int) -> list[Member]:
-        """Return up to `count` random members that are not gone."""
-        others = self._indexed().others
+        """Return up to `count` random members that are not gone, except this node."""
+        others = self._current_index().others
         return self._random.sample(others, min(count, len(others)))
 
     def pick_lost(self) -> Member | None:
-        """Return a random lost member, to see whether a partition has healed."""
+        """Return a random lost member, to probe whether a partition has healed."""
         lost = [m for m in self.member_by_node.values() if m.state is MemberState.LOST]
         return self._random.choice(lost) if lost else None
 
-    def _sends_left(self, node: NodeId) -> int:
-        return self._sends_left_by_node[node]
+    def _transmissions_left(self, node: NodeId) -> int:
+        return self._transmissions_left_by_node[node]
 
-    def _indexed(self) -> _Index:
+    def _current_index(self) -> _Index:
         if self._index is None:
             self._index = _Index()
             for member in self.member_by_node.values():
                 self._index.add(member, is_me=member.node == self.me.node)
         return self._index
 
-    def _add_to_sums(self, member: Member, sign: int) -> None:
+    def _add_to_checksums(self, member: Member, sign: int) -> None:
         if member.state not in GONE:
-            index = _bucket(member.node)
-            added = self._sums[index] + sign * _fingerprint(member)
-            self._sums[index] = added & SUM_MASK
+            bucket = _bucket(member.node)
+            checksum = self._checksum_by_bucket[bucket] + sign * _fingerprint(member)
+            self._checksum_by_bucket[bucket] = checksum & CHECKSUM_MASK
 
     def _put(self, member: Member, now: float) -> None:
         earlier = self.member_by_node.get(member.node)
         if earlier is not None:
-            self._add_to_sums(earlier, -1)
-        self._add_to_sums(member, 1)
+            self._add_to_checksums(earlier, -1)
+        self._add_to_checksums(member, 1)
         self._index = None
         self.member_by_node[member.node] = member
         self.changed_at_by_node[member.node] = now
         doublings = math.ceil(math.log2(len(self.member_by_node) + 1))
-        self._sends_left_by_node[member.node] = SENDS_PER_DOUBLING * doublings
+        self._transmissions_left_by_node[member.node] = (
+            RETRANSMIT_MULTIPLIER * doublings
+        )
         if member.state in GONE:
             self.free_by_node.pop(member.node, None)
 
-    def _weaken(
+    def _change_state(
         self,
         node: NodeId,
         from_states: tuple[MemberState, ...],
@@ -259,8 +281,9 @@
             self._put(msgspec.structs.replace(member, state=to_state), now)
 
     def _refute(self, member: Member, now: float) -> bool:
-        # Others suspect this node, or remember an earlier process of its name;
-        # raising the version above theirs makes the present record win.
+        # Others may suspect this node, or remember an earlier process of its name. A
+        # record of another incarnation is of another process; one of this incarnation
+        # is refuted by raising the version above it, so that the present record wins.
         if member.incarnation != self.me.incarnation:
             return False
         if not supersedes(member, self.me):
@@ -271,7 +294,7 @@
 
 
 def _bucket(node: NodeId) -> int:
-    return zlib.crc32(node.encode()) % BUCKETS
+    return zlib.crc32(node.encode()) % BUCKET_COUNT
 
 
 def _fingerprint(member: Member) -> int:
