--- a/wagtailcleat/routing/__init__.py
+++ b/wagtailcleat/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions on service requests."""
+"""Routing of service requests: choice of endpoint, admission and retries."""
--- a/wagtailcleat/routing/choose.py
+++ b/wagtailcleat/routing/choose.py
@@ -1,4 +1,8 @@
-"""Which endpoint a request goes to: policies as functions behind one setting."""
+"""Load balancing: chooses the endpoint that a request is sent to.
+
+For each attempt, an entry's relay narrows the endpoints down by `candidates` and
+chooses one of them by the policy that the `routing` setting names.
+"""
 
 import random
 from collections.abc import Callable
@@ -13,11 +17,14 @@
 MAX_COMPARED = 16
 
 Choose = Callable[[list[Member], Endpoints, float], Member]
-"""Picks one of at least one candidate, at the present time."""
+"""Returns one of the candidates, of which there must be at least one.
+
+The last argument is the present time, in seconds.
+"""
 
 
 class Policy(Enum):
-    """The routing policies; all but the first are baselines to measure against."""
+    """Load-balancing policies; all but the first are baselines for comparison."""
 
     LEAST_COST = "least_cost"
     TWO_CHOICES = "two_choices"
@@ -32,12 +39,14 @@
     tried: set[NodeId],
     now: float,
 ) -> list[Member]:
-    """Return the endpoints that may take a request, those not ejected first.
-
-    Never more than half are passed over as ejected: beyond that the cause is
-    likelier a common one, and the rest would only drown. A retry goes only where
-    there may be room: when all are full, asking one after the other makes the
-    refusal late and the load larger, and changes nothing.
+    """Return the endpoints that a request may be sent to, possibly none.
+
+    Endpoints of a zone that is out and those in `tried` are excluded; so are suspect
+    members while any is alive. Ejected endpoints are excluded unless they are more
+    than half: then a common cause is more likely than faults of single endpoints,
+    and the remaining endpoints would be overloaded. A retry excludes the endpoints
+    that have just refused for lack of room: when all are full, asking one after the
+    other delays the refusal, adds load and changes nothing.
     """
     usable = [
         member
@@ -46,40 +55,42 @@
         and member.node not in tried
         and not zone_is_out(configuration, member.zone)
     ]
-    alive = [m for m in usable if m.state is MemberState.ALIVE] or usable
+    eligible = [m for m in usable if m.state is MemberState.ALIVE] or usable
     if tried:
-        alive = [m for m in alive if not endpoints.record(m.node).refusing(now)]
-    good = [m for m in alive if not endpoints.record(m.node).ejected(now)]
-    return good if len(good) >= len(alive) * (1 - MAX_EJECTED_SHARE) else alive
+        eligible = [m for m in eligible if not endpoints.record(m.node).refusing(now)]
+    kept = [m for m in eligible if not endpoints.record(m.node).ejected(now)]
+    return kept if len(kept) >= len(eligible) * (1 - MAX_EJECTED_SHARE) else eligible
 
 
 def chooser(policy: Policy, rng: random.Random) -> Choose:
-    """Return the function that carries out `policy`."""
-    turns = 0
+    """Return the function that chooses an endpoint by `policy`."""
+    choices_made = 0
 
     def two_choices(members: list[Member], endpoints: Endpoints, now: float) -> Member:
         pair = rng.sample(members, min(2, len(members)))
         return min(pair, key=lambda m: endpoints.record(m.node).cost(now))
 
     def least_cost(members: list[Member], endpoints: Endpoints, now: float) -> Member:
-        # Sampled also where all are compared: equal costs must not all go to the
-        # first of the list.
-        some = rng.sample(members, min(MAX_COMPARED, len(members)))
-        return min(some, key=lambda m: endpoints.record(m.node).cost(now))
-
-    def any_one(members: list[Member], endpoints: Endpoints, now: float) -> Member:
+        # The sample also shuffles when it contains all members: among equal costs the
+        # first of the list must not get every request.
+        sample = rng.sample(members, min(MAX_COMPARED, len(members)))
+        return min(sample, key=lambda m: endpoints.record(m.node).cost(now))
+
+    def random_choice(
+        members: list[Member], endpoints: Endpoints, now: float
+    ) -> Member:
         return rng.choice(members)
 
-    def in_turn(members: list[Member], endpoints: Endpoints, now: float) -> Member:
-        nonlocal turns
-        turns += 1
+    def round_robin(members: list[Member], endpoints: Endpoints, now: float) -> Member:
+        nonlocal choices_made
+        choices_made += 1
         ordered = sorted(members, key=lambda m: m.node)
-        return ordered[turns % len(ordered)]
+        return ordered[choices_made % len(ordered)]
 
     choose_by_policy: dict[Policy, Choose] = {
         Policy.TWO_CHOICES: two_choices,
         Policy.LEAST_COST: least_cost,
-        Policy.RANDOM: any_one,
-        Policy.ROUND_ROBIN: in_turn,
+        Policy.RANDOM: random_choice,
+        Policy.ROUND_ROBIN: round_robin,
     }
     return choose_by_policy[policy]
--- a/wagtailcleat/routing/retries.py
+++ b/wagtailcleat/routing/retries.py
@@ -1,28 +1,31 @@
-"""How many retries an entry may add: a share of the requests it takes."""
+"""Limits the retries of an entry to a share of the requests it receives.
+
+An entry's relay asks the budget before each retry that may load an endpoint again.
+"""
 
 from dataclasses import dataclass
 
-MAX_SAVED = 20.0
-FIRST_SAVED = 0.0
+MAX_TOKENS = 20.0
+INITIAL_TOKENS = 0.0
 MAX_TRIES = 3
 
 
 @dataclass
 class RetryBudget:
-    """Each request saves a share of a retry; each retry spends a whole one.
+    """A token bucket: each request adds a share of a token, each retry takes one.
 
-    Retries without a budget multiply the load just when there is too much of it.
+    Without a budget, retries multiply the load just when the system is overloaded.
     """
 
-    saved: float = FIRST_SAVED
+    tokens: float = INITIAL_TOKENS
 
     def request(self, share: float) -> None:
-        """Note a request, of which `share` may be added as retries."""
-        self.saved = min(MAX_SAVED, self.saved + share)
+        """Add `share` of a token for a request that was received."""
+        self.tokens = min(MAX_TOKENS, self.tokens + share)
 
     def spend(self) -> bool:
-        """Take one retry from the budget, if there is one."""
-        if self.saved < 1.0:
+        """Take one token for a retry; return False if there is none."""
+        if self.tokens < 1.0:
             return False
-        self.saved -= 1.0
+        self.tokens -= 1.0
         return True
