--- a/features/steps/lost_exchanges_steps.py
+++ b/features/steps/lost_exchanges_steps.py
@@ -1,4 +1,4 @@
-"""Steps on many gossiping nodes in one process, and on one view."""
+"""Steps for many gossiping nodes in one process, and for a single view."""
 
 import asyncio
 import logging
@@ -33,7 +33,7 @@
     context.mesh_size, context.loss = count, loss
 
 
-@when("a process hears of a configuration from the store")
+@when("a process reads a configuration from the store")
 def step_change(context):
     async def main(clock):
         mesh = Mesh(clock, seed=SEED)
@@ -58,29 +58,29 @@
     assert context.seconds <= seconds, context.seconds
 
 
-@given("a view that hears {pieces:d} random pieces of news of {count:d} members")
-def step_view(context, pieces, count):
+@given("a view that merges {updates:d} random updates of {count:d} members")
+def step_view(context, updates, count):
     context.view = View(member(0), random.Random(SEED))
-    context.pieces, context.count = pieces, count
+    context.updates, context.count = updates, count
 
 
-@then("after each its index and its sums are those of a walk over all members")
+@then("after each its index and its checksums equal those computed from all members")
 def step_index(context):
     view, rng = context.view, random.Random(SEED)
-    for now in range(context.pieces):
-        view.merge(_news(rng, context.count), now)
+    for now in range(context.updates):
+        view.merge(_random_update(rng, context.count), now)
         if rng.random() < 0.2:
             view.expire(now, suspicion=3, forget_lost=50)
         live = [m for m in view.member_by_node.values() if m.state not in GONE]
         assert view.live() == live
-        assert view.bucket_checksums() == _walked_sums(live)
+        assert view.bucket_checksums() == _computed_checksums(live)
         for shard in map(ShardId, range(SHARDS)):
             owners = [m for m in live if shard in m.shards]
             newest = max(owners, key=lambda m: m.version, default=None)
             assert view.owner(shard) == newest
 
 
-def _news(rng, count):
+def _random_update(rng, count):
     return replace(
         member(rng.randrange(count)),
         version=rng.randrange(60),
@@ -89,9 +89,11 @@
     )
 
 
-def _walked_sums(live):
-    sums = [0] * BUCKET_COUNT
-    for one in live:
-        index = _bucket(one.node)
-        sums[index] = (sums[index] + _fingerprint(one)) & CHECKSUM_MASK
-    return sums
+def _computed_checksums(live):
+    checksums = [0] * BUCKET_COUNT
+    for live_member in live:
+        bucket = _bucket(live_member.node)
+        checksums[bucket] = (
+            checksums[bucket] + _fingerprint(live_member)
+        ) & CHECKSUM_MASK
+    return checksums
--- a/features/steps/members_steps.py
+++ b/features/steps/members_steps.py
@@ -1,4 +1,4 @@
-"""Steps on processes that are paused, restarted or twice there."""
+"""Steps for processes that are paused while the configuration changes."""
 
 from concurrent.futures import ThreadPoolExecutor
 
@@ -12,19 +12,19 @@
 from wagtailcleat.configuration.models import Zone
 from wagtailcleat.configuration.writer import Accepted, write
 
-AT_ONCE = 10
+CONCURRENT_REQUESTS = 10
 
 
 def _second_entry(context):
     return list(context.cluster.entry_by_node.values())[1]
 
 
-def _in_zone(context, zone):
+def _vms_in_zone(context, zone):
     return [vm.name for vm in context.cluster.vm_by_name.values() if vm.zone == zone]
 
 
-def _runs(context, zone):
-    return sum(len(context.cluster.runs(vm)) for vm in _in_zone(context, zone))
+def _run_count(context, zone):
+    return sum(len(context.cluster.runs(vm)) for vm in _vms_in_zone(context, zone))
 
 
 @given("every endpoint has answered a request")
@@ -38,24 +38,28 @@
     wait_for(all_ran, PATIENCE_SECONDS, "a run at every endpoint")
 
 
-@given('only the endpoints of zone "{zone}" are left')
-def step_only_zone(context, zone):
-    kept = _in_zone(context, zone)
-    gone = [vm for vm in context.cluster.vm_by_name if vm not in kept]
+@given('only the endpoints of zone "{zone}" still run')
+def step_only_zone_runs(context, zone):
+    kept_vms = _vms_in_zone(context, zone)
+    stopped_vms = [vm for vm in context.cluster.vm_by_name if vm not in kept_vms]
     for (vm, _), endpoint in context.cluster.endpoint_by_vm_and_service.items():
-        if vm in gone:
+        if vm in stopped_vms:
             endpoint.kill()
 
-    def heard():
+    def endpoints_withdrawn():
         nodes = context.cluster.admin("GET", "/admin/nodes").json()["nodes"]
-        return not any(n["services"] for n in nodes if n["vm"] in gone)
+        return not any(n["services"] for n in nodes if n["vm"] in stopped_vms)
 
-    wait_for(heard, PATIENCE_SECONDS, "the other endpoints are known to be gone")
+    wait_for(
+        endpoints_withdrawn,
+        PATIENCE_SECONDS,
+        "the other endpoints are known to be gone",
+    )
 
 
 @when('the second entry and the agents of zone "{zone}" are paused')
 def step_pause(context, zone):
-    agents = [context.cluster.agent_by_vm[vm] for vm in _in_zone(context, zone)]
+    agents = [context.cluster.agent_by_vm[vm] for vm in _vms_in_zone(context, zone)]
     context.paused = [_second_entry(context), *agents]
     for process in context.paused:
         process.freeze()
@@ -70,11 +74,15 @@
     wait_for(long_enough, PATIENCE_SECONDS, f"a pause of {seconds} s")
 
 
-@when("the paused processes go on and the second entry gets {count:d} requests at once")
-def step_go_on(context, count):
-    context.before = {z: _runs(context, z) for z in ("zilina-a", "zilina-b")}
+@when(
+    "the paused processes resume and the second entry gets {count:d} requests at once"
+)
+def step_resume(context, count):
+    context.runs_before_by_zone = {
+        z: _run_count(context, z) for z in ("zilina-a", "zilina-b")
+    }
     address = url(context, "/services/booking-core/hold", _second_entry(context))
-    with ThreadPoolExecutor(AT_ONCE) as pool:
+    with ThreadPoolExecutor(CONCURRENT_REQUESTS) as pool:
         answers = [pool.submit(http, "GET", address) for _ in range(count)]
         for process in reversed(context.paused):
             process.thaw()
@@ -83,7 +91,9 @@
 
 @then('no endpoint in zone "{zone}" ran any of them')
 def step_none_ran(context, zone):
-    assert _runs(context, zone) == context.before[zone], context.statuses
+    assert _run_count(context, zone) == context.runs_before_by_zone[zone], (
+        context.statuses
+    )
 
 
 @given("two entries and two agents in one process, on virtual time")
@@ -100,30 +110,32 @@
 
 
 @when(
-    'agent "{name}" is cut off and paused for {seconds:d} seconds'
+    'agent "{name}" is partitioned and paused for {seconds:d} seconds'
     " while a zone is taken out"
 )
-def step_cut_and_pause(context, name, seconds):
+def step_partition_and_pause(context, name, seconds):
     context.deployment.cut({name})
     _change(context, lambda current: replace(current, zones_out=["zilina-a"]))
     context.deployment.pause(name, seconds)
 
 
-@then('"{name}" does not trust its view, also after {seconds:d} more seconds')
-def step_no_trust(context, name, seconds):
+@then('"{name}" treats its view as stale, also after {seconds:d} more seconds')
+def step_view_is_stale(context, name, seconds):
     node = context.deployment.node_by_name[name]
     assert not node.fresh()
     context.deployment.pass_time(seconds)
     assert not node.fresh()
 
 
-@when("the cut ends")
+@when("the partition heals")
 def step_heal(context):
     context.deployment.heal()
 
 
-@then('within {seconds:d} seconds "{name}" trusts its view and has the zone out')
-def step_trust(context, seconds, name):
+@then(
+    'within {seconds:d} seconds "{name}" treats its view as fresh and has the zone out'
+)
+def step_view_is_fresh(context, seconds, name):
     context.deployment.pass_time(seconds)
     node = context.deployment.node_by_name[name]
     assert node.fresh()
@@ -137,10 +149,10 @@
 
 def _change(context, change):
     deployment = context.deployment
-    context.changes = getattr(context, "changes", 0) + 1
+    context.change_count = getattr(context, "change_count", 0) + 1
     store = deployment.store_by_name["entry-1"]
     outcome = deployment.loop.run(
-        write(store, None, f"change-{context.changes}", change)
+        write(store, None, f"change-{context.change_count}", change)
     )
     assert isinstance(outcome, Accepted), outcome
     deployment.pass_time(1)
