--- a/features/steps/members_steps.py
+++ b/features/steps/members_steps.py
@@ -149,10 +149,10 @@
 
 def _change(context, change):
     deployment = context.deployment
-    context.change_count = getattr(context, "change_count", 0) + 1
+    context.changes = getattr(context, "changes", 0) + 1
     store = deployment.store_by_name["entry-1"]
     outcome = deployment.loop.run(
-        write(store, None, f"change-{context.change_count}", change)
+        write(store, None, f"change-{context.changes}", change)
     )
     assert isinstance(outcome, Accepted), outcome
     deployment.pass_time(1)
