--- a/features/steps/takeover_model.py
+++ b/features/steps/takeover_model.py
@@ -1,12 +1,13 @@
-"""A small model of a takeover: entries, agents, workers, the store and the network.
+"""A model of leader takeover: entries, agents, workers, the store and the network.
 
-One task; runs of it may go on at several agents. A state is a tuple, `moves` yields
-all that may happen next. Deadlines are kept as the ticks that are left, so that
-states which differ only in the hour are one. A process that pauses makes no move; a
-message that is lost is never taken out; one that is late is taken out late.
+There is one task, of which several agents may hold a run. A state is a tuple, and
+`moves` yields all possible transitions from it. Every deadline is a count of remaining
+ticks, so that states that differ only in the absolute time are equal. A process that
+pauses makes no move, a lost message is never received, a late one is received late.
 
-Where the model is bolder than the programs, it only adds histories: entries see each
-change of the beat at once, and every run lives to the last tick of its lease.
+Where the model deviates from the programs, it only allows more histories: entries see
+each change of the heartbeat at once, and every run lasts until the last tick of its
+lease.
 """
 
 from collections.abc import Iterator
@@ -15,11 +16,11 @@
     agent_moves,
 )
 from features.steps.takeover_entries import (
-    claiming,
-    following,
-    given_up,
-    kill,
-    leading,
+    claim_moves,
+    follower_moves,
+    leader_moves,
+    restart_entry,
+    without_lost_agents,
 )
 from features.steps.takeover_state import (
     Agent,
@@ -29,128 +30,149 @@
     Move,
     Reply,
     Rule,
-    Run,
+    RunState,
     State,
     Store,
-    less,
-    put,
-    renewed,
+    decremented,
+    replaced,
+    with_renewed_lease,
 )
 
 
 def moves(state: State, bounds: Bounds) -> Iterator[Move]:
-    """Yield all that may happen next, each with a line that tells it."""
-    yield "a tick passes", _tick(state, bounds)
-    if not state.store.job:
-        yield "the job is stored", state._replace(store=state.store._replace(job=True))
+    """Yield all possible moves, each with a line that describes it."""
+    yield "a tick passes", _after_tick(state, bounds)
+    if not state.store.job_stored:
+        yield (
+            "the job is stored",
+            state._replace(store=state.store._replace(job_stored=True)),
+        )
     for number, entry in enumerate(state.entries):
-        if entry.office is not None:
-            yield from leading(state, bounds, number, entry, entry.office)
+        if entry.term is not None:
+            yield from leader_moves(state, bounds, number, entry, entry.term)
         else:
-            yield from following(state, bounds, number, entry)
-        if state.left.kills:
-            yield f"entry {number} is killed and restarts", kill(state, bounds, number)
+            yield from follower_moves(state, bounds, number, entry)
+        if state.faults_left.entry_restarts:
+            yield (
+                f"entry {number} is killed and restarts",
+                restart_entry(state, bounds, number),
+            )
     for number in range(len(state.claims)):
-        yield from claiming(state, bounds, number)
+        yield from claim_moves(state, bounds, number)
     for number, agent in enumerate(state.agents):
         yield from agent_moves(state, bounds, number, agent)
 
 
-# ---- time
-
-
-def _tick(state: State, bounds: Bounds) -> State:
-    store = state.store._replace(still=min(bounds.claim_after, state.store.still + 1))
+def _after_tick(state: State, bounds: Bounds) -> State:
+    store = state.store._replace(
+        stalled_ticks=min(bounds.claim_after, state.store.stalled_ticks + 1)
+    )
     return state._replace(
         store=store,
-        entries=tuple(_entry_ticks(entry, bounds) for entry in state.entries),
-        agents=tuple(_agent_ticks(agent, bounds) for agent in state.agents),
-        claims=tuple(claim._replace(valid=less(claim.valid)) for claim in state.claims),
+        entries=tuple(_entry_after_tick(entry, bounds) for entry in state.entries),
+        agents=tuple(_agent_after_tick(agent, bounds) for agent in state.agents),
+        claims=tuple(
+            claim._replace(valid_ticks=decremented(claim.valid_ticks))
+            for claim in state.claims
+        ),
     )
 
 
-def _entry_ticks(entry: Entry, bounds: Bounds) -> Entry:
-    office = entry.office
-    if office is None:
-        return entry._replace(promised=less(entry.promised))
-    office = office._replace(
-        valid=less(office.valid),
-        rivals=less(office.rivals),
-        wait=less(office.wait),
-        heard=tuple(less(ticks) for ticks in office.heard),
+def _entry_after_tick(entry: Entry, bounds: Bounds) -> Entry:
+    term = entry.term
+    if term is None:
+        return entry._replace(promised_ticks=decremented(entry.promised_ticks))
+    term = term._replace(
+        valid_ticks=decremented(term.valid_ticks),
+        rival_ticks=decremented(term.rival_ticks),
+        recovery_ticks=decremented(term.recovery_ticks),
+        timeout_ticks=tuple(decremented(ticks) for ticks in term.timeout_ticks),
     )
     if Rule.GIVE_UP_RENEWED not in bounds.rules:
-        office = given_up(office)
-    return entry._replace(promised=less(entry.promised), office=office)
-
-
-def _agent_ticks(agent: Agent, bounds: Bounds) -> Agent:
-    agent = renewed(agent, bounds)
-    lease = less(agent.lease)
-    mail = agent.mail
-    if mail is not None:
-        mail = mail._replace(contact=less(mail.contact), valid=less(mail.valid))
+        term = without_lost_agents(term)
+    return entry._replace(promised_ticks=decremented(entry.promised_ticks), term=term)
+
+
+def _agent_after_tick(agent: Agent, bounds: Bounds) -> Agent:
+    agent = with_renewed_lease(agent, bounds)
+    lease_ticks = decremented(agent.lease_ticks)
+    report = agent.report
+    if report is not None:
+        report = report._replace(
+            contact_ticks=decremented(report.contact_ticks),
+            valid_ticks=decremented(report.valid_ticks),
+        )
     return agent._replace(
-        valid=less(agent.valid),
-        contact=less(agent.contact),
-        young=less(agent.young),
-        lease=lease,
-        run=agent.run if lease else Run.NONE,
-        mail=mail,
+        valid_ticks=decremented(agent.valid_ticks),
+        contact_ticks=decremented(agent.contact_ticks),
+        startup_ticks=decremented(agent.startup_ticks),
+        lease_ticks=lease_ticks,
+        run=agent.run if lease_ticks else RunState.NONE,
+        report=report,
     )
 
 
-# ---- states that differ only in what can't matter any more
-
+def canonical(state: State, bounds: Bounds) -> State:
+    """Return the state without what can no longer affect any later state.
 
-def tidy(state: State, bounds: Bounds) -> State:
-    """Return the state without what can't matter any more."""
+    States that differ only in that are equal afterwards and are explored once.
+    """
     claims = state.claims
     if claims and Rule.CLAIM_BOUND in bounds.rules:
-        claims = tuple(claim for claim in claims if _may_land(claim, state.store))
+        claims = tuple(claim for claim in claims if _may_commit(claim, state.store))
     return state._replace(
-        entries=tuple(_tidy_entry(entry, state, bounds) for entry in state.entries),
+        entries=tuple(
+            _canonical_entry(entry, state, bounds) for entry in state.entries
+        ),
         agents=tuple(
-            _tidy_agent(number, agent, state, bounds)
+            _canonical_agent(number, agent, state, bounds)
             for number, agent in enumerate(state.agents)
         ),
-        claims=tuple(sorted(claims, key=_order)) if len(claims) > 1 else claims,
+        claims=tuple(sorted(claims, key=_claim_order)) if len(claims) > 1 else claims,
     )
 
 
-def _order(claim: Claim) -> tuple[int, int, str]:
-    return claim.entry, claim.expected, claim.life.value
+def _claim_order(claim: Claim) -> tuple[int, int, str]:
+    return claim.entry, claim.expected_epoch, claim.claimant.value
 
 
-def _may_land(claim: Claim, store: Store) -> bool:
-    return bool(claim.landed) or (claim.expected == store.epoch and claim.fresh)
+def _may_commit(claim: Claim, store: Store) -> bool:
+    return bool(claim.committed_epoch) or (
+        claim.expected_epoch == store.epoch and claim.heartbeat_unchanged
+    )
 
 
-def _tidy_entry(entry: Entry, state: State, bounds: Bounds) -> Entry:
-    office = entry.office
-    if office is None:
+def _canonical_entry(entry: Entry, state: State, bounds: Bounds) -> Entry:
+    term = entry.term
+    if term is None:
         return entry
-    over = office.epoch != state.store.epoch and not office.valid
-    if over and not state.left.words and Rule.IDLE_MOVES_NOTHING in bounds.rules:
-        return entry._replace(office=None)
-    for number in bounds.prompt:
-        if office.heard[number] and not office.hosts[number]:
-            office = office._replace(heard=put(office.heard, number, 0))
-    return entry if office is entry.office else entry._replace(office=office)
-
-
-def _tidy_agent(number: int, agent: Agent, state: State, bounds: Bounds) -> Agent:
-    if number in bounds.prompt:
-        if agent.run is Run.NONE and (agent.valid or agent.contact):
-            return agent._replace(valid=0, contact=0)
+    has_ended = term.epoch != state.store.epoch and not term.valid_ticks
+    if (
+        has_ended
+        and not state.faults_left.promise_renewals
+        and Rule.IDLE_MOVES_NOTHING in bounds.rules
+    ):
+        return entry._replace(term=None)
+    for number in bounds.prompt_agents:
+        if term.timeout_ticks[number] and not term.may_run[number]:
+            term = term._replace(timeout_ticks=replaced(term.timeout_ticks, number, 0))
+    return entry if term is entry.term else entry._replace(term=term)
+
+
+def _canonical_agent(number: int, agent: Agent, state: State, bounds: Bounds) -> Agent:
+    if number in bounds.prompt_agents:
+        if agent.run is RunState.NONE and (agent.valid_ticks or agent.contact_ticks):
+            return agent._replace(valid_ticks=0, contact_ticks=0)
         return agent
-    if not agent.orders and agent.mail is None:
+    if not agent.orders and agent.report is None:
         return agent
     orders = tuple(order for order in agent.orders if order[0] >= agent.epoch)
-    mail = agent.mail
-    if mail is not None:
-        lower = mail.reply is not Reply.NONE and mail.answered < agent.epoch
-        nobody = mail.reply is Reply.NONE and state.entries[mail.to].office is None
-        if lower or nobody:
-            mail = None
-    return agent._replace(orders=orders, mail=mail)
+    report = agent.report
+    if report is not None:
+        outdated = report.reply is not Reply.NONE and report.answer_epoch < agent.epoch
+        unanswerable = (
+            report.reply is Reply.NONE and state.entries[report.entry].term is None
+        )
+        if outdated or unanswerable:
+            report = None
+    return agent._replace(orders=orders, report=report)
--- a/features/steps/takeover_model_steps.py
+++ b/features/steps/takeover_model_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the model of a takeover."""
+"""Steps that explore the takeover model."""
 
 import contextlib
 import os
@@ -11,28 +11,28 @@
 from features.steps.takeover_state import Rule
 from features.steps.takeover_worlds import DESIGN, WORLD_BY_RULE
 
-LIMIT = 400_000
-"""States after which an exploration ends undecided; a world of CI has 15,000."""
+MAX_STATES = 400_000
+"""States after which an exploration ends undecided; a world in CI has 15,000."""
 LONGER = int(os.environ.get("TAKEOVER_LONGER", "1"))
-"""By how much more worlds are drawn by hand, and how much further they are explored."""
+"""Factor on the number of worlds drawn and the states explored of each."""
 DRAWN_LIMIT = 1_500
-"""States visited of each world that is drawn."""
+"""States visited at most of each random world."""
 
 
 @when("the model is explored without the rule {name}")
 def step_explore_without(context, name):
     rule = Rule[name]
     first, bounds = WORLD_BY_RULE[rule].begin(DESIGN - {rule})
-    context.found = explore(first, bounds, limit=LIMIT)
+    context.found = explore(first, bounds, limit=MAX_STATES)
 
 
 @when("the model is explored with all rules in the world of {name}")
 def step_explore_all(context, name):
     first, bounds = WORLD_BY_RULE[Rule[name]].begin(DESIGN)
-    context.found = explore(first, bounds, limit=LIMIT)
+    context.found = explore(first, bounds, limit=MAX_STATES)
 
 
-@then("a history with two runs of the task is found and printed")
+@then("a history in which the task runs twice is found and printed")
 def step_found(context):
     assert context.found.trace, f"none in {context.found.states} states"
     print("\n".join(context.found.trace))
@@ -44,7 +44,7 @@
     assert context.found.complete, f"undecided after {context.found.states} states"
 
 
-@when("{count:d} worlds are drawn at random and explored with all rules")
+@when("{count:d} random worlds are explored with all rules")
 def step_drawn(context, count):
     context.found = None
 
@@ -68,6 +68,6 @@
         play()
 
 
-@then("in the part visited none has two runs of the task")
+@then("no visited state has two runs of the task")
 def step_no_drawn(context):
     assert context.found is None, "\n".join(context.found.trace)
--- a/features/steps/takeover_search.py
+++ b/features/steps/takeover_search.py
@@ -1,29 +1,31 @@
-"""Explores the model of a takeover, breadth first, until two runs go on."""
+"""Breadth-first search of the takeover model for a state with two runs."""
 
 import gc
 from typing import NamedTuple
 
-from features.steps.takeover_model import moves, tidy
+from features.steps.takeover_model import canonical, moves
 from features.steps.takeover_state import (
     Bounds,
     State,
-    live_runs,
+    count_running,
 )
 
 
-class Found(NamedTuple):
-    """What an exploration saw."""
+class Exploration(NamedTuple):
+    """The result of an exploration."""
 
     states: int
+    """How many states were visited."""
     complete: bool
     """Whether every state within the bounds was visited."""
     trace: list[str] | None
-    """What led to two runs, if it was found."""
+    """The moves that lead to two runs; None if no such state was visited."""
 
 
-def explore(first: State, bounds: Bounds, *, limit: int) -> Found:
+def explore(first: State, bounds: Bounds, *, limit: int) -> Exploration:
     """Visit states breadth first, at most about `limit` of them."""
-    # The states hold no cycles; the collector would walk through all of them.
+    # States contain no reference cycles, and each garbage collection would traverse
+    # all of them.
     gc.disable()
     try:
         return _explore(first, bounds, limit)
@@ -31,31 +33,37 @@
         gc.enable()
 
 
-def _explore(first: State, bounds: Bounds, limit: int) -> Found:
-    came_from: dict[State, tuple[State, str] | None] = {first: None}
-    front = [first]
-    while front:
-        following = []
-        for state in front:
-            for text, untidy in moves(state, bounds):
-                after = tidy(untidy, bounds)
-                if after in came_from:
+def _explore(first: State, bounds: Bounds, limit: int) -> Exploration:
+    predecessor_by_state: dict[State, tuple[State, str] | None] = {first: None}
+    frontier = [first]
+    while frontier:
+        next_frontier = []
+        for state in frontier:
+            for text, successor in moves(state, bounds):
+                after = canonical(successor, bounds)
+                if after in predecessor_by_state:
                     continue
-                came_from[after] = (state, text)
-                if live_runs(after) > 1:
-                    return Found(len(came_from), False, _trace(came_from, after))
-                following.append(after)
-            if len(came_from) > limit:
-                return Found(len(came_from), False, None)
-        front = following
-    return Found(len(came_from), True, None)
+                predecessor_by_state[after] = (state, text)
+                if count_running(after) > 1:
+                    return Exploration(
+                        len(predecessor_by_state),
+                        False,
+                        _trace(predecessor_by_state, after),
+                    )
+                next_frontier.append(after)
+            if len(predecessor_by_state) > limit:
+                return Exploration(len(predecessor_by_state), False, None)
+        frontier = next_frontier
+    return Exploration(len(predecessor_by_state), True, None)
 
 
-def _trace(came_from: dict[State, tuple[State, str] | None], last: State) -> list[str]:
+def _trace(
+    predecessor_by_state: dict[State, tuple[State, str] | None], last: State
+) -> list[str]:
     lines = []
-    step = came_from[last]
+    step = predecessor_by_state[last]
     while step is not None:
         state, text = step
         lines.append(text)
-        step = came_from[state]
+        step = predecessor_by_state[state]
     return lines[::-1]
