--- a/features/steps/takeover_state.py
+++ b/features/steps/takeover_state.py
@@ -42,7 +42,7 @@
 class Claimant(Enum):
     """The state of the process that sent a claim."""
 
-    WAITING = "waiting"
+    WAITING = "waits"
     TIMED_OUT = "timed out"
     DEAD = "dead"
 
@@ -51,17 +51,17 @@
     """The state of the task at one worker."""
 
     NONE = "none"
-    STARTING = "starting"
+    STARTING = "sent"
     """The agent has sent the start, and the worker has not carried it out."""
     ORPHANED = "starting for an earlier incarnation of the agent"
-    RUNNING = "running"
+    RUNNING = "live"
 
 
 class Reply(Enum):
     """A leader's answer to a report."""
 
     NONE = "none"
-    ACCEPTED = "accepted"
+    ACCEPTED = "taken"
     FOLLOW = "follow this epoch first"
 
 
--- a/features/steps/takeover_worlds.py
+++ b/features/steps/takeover_worlds.py
@@ -21,7 +21,7 @@
     " and leads epoch 2"
 )
 ORDERED = "entry 0 (epoch 1) orders agent 0 to start the task"
-ACCEPTED = "agent 0 accepts the order of epoch 1: running"
+ACCEPTED = "agent 0 accepts the order of epoch 1: live"
 SHORT = {"run_horizon": 1, "run_lease": 1, "agent_timeout": 2}
 """The shortest leases that still allow clock drift, to keep the state space small."""
 SHORTEST = {
