--- a/features/steps/restoring_steps.py
+++ b/features/steps/restoring_steps.py
@@ -35,7 +35,7 @@
 @when("the large entry dies, and the list of jobs takes the others {seconds:g} s")
 def step_dies(context, seconds):
     for entry in context.world.entries[1:]:
-        entry.store.jobs_seconds = seconds
+        entry.store.job_list_delay_seconds = seconds
     context.large.kill()
 
 
@@ -205,8 +205,8 @@
     world = context.world
     small = context.small
     third = next(e for e in world.entries if e.alive and e is not small)
-    third.store.jobs_seconds = 0.0
-    small.store.reached = False
+    third.store.job_list_delay_seconds = 0.0
+    small.store.reachable = False
     agent = context.agent = world.agents[0]
 
     async def hold(near, far, message):
@@ -215,7 +215,7 @@
         if between or (untold and message.node == third.node):
             await asyncio.Event().wait()
 
-    world.network.hold = hold
+    world.network.delay_message = hold
     context.third = third
     world.until(lambda: third in world.leading(), SECONDS, "the third entry leads")
 
@@ -316,7 +316,7 @@
             )
             await asyncio.sleep(free_at[far] - world.clock())
 
-    world.network.hold = hold
+    world.network.delay_message = hold
 
 
 @when("the leader of all of them dies")
--- a/features/steps/takeover_world.py
+++ b/features/steps/takeover_world.py
@@ -1,7 +1,8 @@
-"""Real entries and agents' ties on virtual time, with a pretended store and network.
+"""Simulated entries and agents on virtual time, with a fake store and network.
 
-The leader's and the agents' own code runs; the store, the connections between the
-processes and the workers are pretended, and each can fail by itself.
+The package's code for leader election, the leader and an agent's link to the leader
+runs unchanged; the store, the connections between processes and the workers are fakes,
+each of which can fail alone.
 """
 
 import asyncio
@@ -57,43 +58,44 @@
 )
 
 PORT = 7720
-TRAVEL_SECONDS = 0.001
-STORE_SECONDS = 0.004
+NETWORK_LATENCY_SECONDS = 0.001
+STORE_LATENCY_SECONDS = 0.004
 RENEW_SECONDS = 0.4
-"""How often a pretended agent renews its worker's leases."""
+"""How often a simulated agent renews its worker's leases."""
 CLOCK_START = 1000.0
 
 
-class Way(Enum):
-    """What becomes of a connection between two hosts."""
+class LinkState(Enum):
+    """How the network treats messages between two hosts."""
 
     OPEN = "open"
     REFUSED = "refused"
     SILENT = "silent"
+    """Messages are dropped without a reset."""
 
 
 @dataclass
 class Keyspace:
-    """What the store holds, and its revision."""
+    """The store's keys and its revision, shared by all `FakeStore`s."""
 
     revision: int = 0
     found_by_key: dict[str, Found] = field(default_factory=dict)
     written: asyncio.Event = field(default_factory=asyncio.Event)
 
-    def under(self, prefix: str) -> list[Found]:
-        """Return the keys under a prefix."""
+    def with_prefix(self, prefix: str) -> list[Found]:
+        """Return the keys with a prefix."""
         return [f for key, f in self.found_by_key.items() if key.startswith(prefix)]
 
-    def holds(self, compare) -> bool:
-        """Tell whether a compare holds."""
+    def is_met(self, compare) -> bool:
+        """Return whether a condition of a transaction is met."""
         found = self.found_by_key.get(compare.key)
         if compare.absent or found is None:
             return compare.absent and found is None
         return compare.mod_revision in (None, found.mod_revision)
 
     def commit(self, txn: Txn) -> Written | Conflict:
-        """Carry out a transaction, or nothing of it."""
-        if not all(self.holds(compare) for compare in txn.compares):
+        """Apply a transaction if all its conditions are met."""
+        if not all(self.is_met(compare) for compare in txn.compares):
             keys = [compare.key for compare in txn.compares]
             shown = [self.found_by_key[k] for k in keys if k in self.found_by_key]
             return Conflict(tuple(shown))
@@ -106,31 +108,31 @@
         return Written(self.revision)
 
 
-class PretendedStore:
-    """The store as one process reaches it."""
+class FakeStore:
+    """One process's client of the store."""
 
     def __init__(self, keyspace: Keyspace, clock) -> None:
-        """Reach it."""
+        """Start reachable and without delays."""
         self.keyspace = keyspace
-        self.reached = True
-        self.loses_answers = 0
-        self.slow_seconds = 0.0
-        """How much longer a call is on its way."""
-        self.answer_seconds = 0.0
-        """How much longer the answer to a write is on its way."""
-        self.jobs_seconds = 0.0
-        """How much longer the list of jobs is on its way."""
+        self.reachable = True
+        self.answers_to_lose = 0
+        self.request_delay_seconds = 0.0
+        """Added to the time that a request takes to arrive."""
+        self.answer_delay_seconds = 0.0
+        """Added to the time that the answer to a write takes to arrive."""
+        self.job_list_delay_seconds = 0.0
+        """Added to the time that a list of the jobs takes to arrive."""
         self.down_since = None
         self.answered_at = 0.0
         self._clock = clock
 
     def away(self, now: float) -> bool:
-        """Tell whether it is known not to answer."""
+        """Return whether it has been unreachable for 0.5 s."""
         return self.down_since is not None and now - self.down_since >= 0.5
 
-    async def _asked(self) -> bool:
-        await asyncio.sleep(self.slow_seconds + STORE_SECONDS / 2)
-        if self.reached:
+    async def _receive_request(self) -> bool:
+        await asyncio.sleep(self.request_delay_seconds + STORE_LATENCY_SECONDS / 2)
+        if self.reachable:
             self.down_since, self.answered_at = None, self._clock()
             return True
         self.down_since = self.down_since or self._clock()
@@ -138,81 +140,82 @@
 
     async def get(self, key: str):
         """Return a key's value."""
-        if not await self._asked():
+        if not await self._receive_request():
             return Unavailable("cut")
         found = self.keyspace.found_by_key.get(key, Absent())
-        await asyncio.sleep(STORE_SECONDS / 2)
+        await asyncio.sleep(STORE_LATENCY_SECONDS / 2)
         return found
 
     async def list(self, prefix: str):
-        """Return all keys under a prefix."""
-        if not await self._asked():
+        """Return all keys with a prefix."""
+        if not await self._receive_request():
             return Unavailable("cut")
-        listing = Listing(self.keyspace.under(prefix), self.keyspace.revision)
+        listing = Listing(self.keyspace.with_prefix(prefix), self.keyspace.revision)
         if prefix == JOB_PREFIX:
-            await asyncio.sleep(self.jobs_seconds)
-        await asyncio.sleep(STORE_SECONDS / 2)
+            await asyncio.sleep(self.job_list_delay_seconds)
+        await asyncio.sleep(STORE_LATENCY_SECONDS / 2)
         return listing
 
     async def write(self, txn: Txn):
-        """Carry out a transaction."""
-        if not await self._asked():
+        """Apply a transaction."""
+        if not await self._receive_request():
             return Unavailable("cut")
         outcome = self.keyspace.commit(txn)
-        await asyncio.sleep(STORE_SECONDS / 2)
+        await asyncio.sleep(STORE_LATENCY_SECONDS / 2)
         if isinstance(outcome, Written):
-            await asyncio.sleep(self.answer_seconds)
-        if isinstance(outcome, Written) and self.loses_answers:
-            self.loses_answers -= 1
+            await asyncio.sleep(self.answer_delay_seconds)
+        if isinstance(outcome, Written) and self.answers_to_lose:
+            self.answers_to_lose -= 1
             return Unknown("the answer was lost")
         return outcome
 
     async def changes(self, prefix: str, revision: int, *, wait_seconds: float):
-        """Return what was written under a prefix since a revision."""
-        if not await self._asked():
+        """Return the writes to keys with a prefix since a revision."""
+        if not await self._receive_request():
             return Unavailable("cut")
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(wait_seconds):
-                while not self._newer(prefix, revision):
+                while not self._changed_since(prefix, revision):
                     self.keyspace.written.clear()
                     await self.keyspace.written.wait()
-        new = self._newer(prefix, revision)
+        new = self._changed_since(prefix, revision)
         events = [Event(f.key, f.value, f.mod_revision) for f in new]
         return Changes(events, self.keyspace.revision)
 
-    def _newer(self, prefix: str, revision: int) -> Sequence[Found]:
-        under = self.keyspace.under(prefix)
-        return [found for found in under if found.mod_revision > revision]
+    def _changed_since(self, prefix: str, revision: int) -> Sequence[Found]:
+        found = self.keyspace.with_prefix(prefix)
+        return [key for key in found if key.mod_revision > revision]
 
 
-class PretendedStream:
+class FakeStream:
     """A connection that one process has opened to another."""
 
-    def __init__(self, network: "Network", near: str, far: str) -> None:
-        """Connect `near` to the process at `far`."""
+    def __init__(self, network: "Network", source: str, target: str) -> None:
+        """Connect `source` to the process at `target`."""
         self.network = network
-        self.near = near
-        self.far = far
-        self.process = network.process_by_host[far]
+        self.source = source
+        self.target = target
+        self.process = network.process_by_host[target]
         self.peer = self.process.node
         self.peer_incarnation = self.process.incarnation
         self.closed = False
-        self.back: PretendedStream | None = None
+        self.reverse: FakeStream | None = None
 
     @property
     def usable(self) -> bool:
-        """Whether a call may be sent."""
+        """Whether the connection is open."""
         return not self.closed
 
     def close(self, reason: str) -> None:
         """Close both ends."""
         self.closed = True
-        if self.back is not None:
-            self.back.closed = True
+        if self.reverse is not None:
+            self.reverse.closed = True
 
     async def call(self, message, *, timeout: float):
         """Send a message and return the answer."""
-        # What was sent arrives, also where its sender has stopped waiting.
+        # A message that was sent arrives even if its sender no longer waits for the
+        # answer.
         exchange = self.network.loop.create_task(self._exchange(message))
         self.network.exchanges.add(exchange)
         exchange.add_done_callback(self.network.exchanges.discard)
@@ -224,67 +227,68 @@
 
     async def _exchange(self, message):
         try:
-            await self._travel(self.near, self.far, message)
-            answer = await self.process.answer(self._other_end(), message)
-            await self._travel(self.far, self.near, answer)
+            await self._deliver(self.source, self.target, message)
+            answer = await self.process.answer(self._reverse_stream(), message)
+            await self._deliver(self.target, self.source, answer)
         except ConnectionError as error:
             return Lost(True, str(error))
         return answer
 
-    def _other_end(self) -> "PretendedStream":
-        if self.back is None:
-            self.back = PretendedStream(self.network, self.far, self.near)
-            self.back.back = self
-        return self.back
-
-    async def _travel(self, near: str, far: str, message) -> None:
-        await asyncio.sleep(TRAVEL_SECONDS)
-        hold = self.network.hold
-        if hold is not None:
-            await hold(near, far, message)
-        way = self.network.way(near, far)
-        if way is Way.SILENT:
+    def _reverse_stream(self) -> "FakeStream":
+        if self.reverse is None:
+            self.reverse = FakeStream(self.network, self.target, self.source)
+            self.reverse.reverse = self
+        return self.reverse
+
+    async def _deliver(self, source: str, target: str, message) -> None:
+        await asyncio.sleep(NETWORK_LATENCY_SECONDS)
+        delay = self.network.delay_message
+        if delay is not None:
+            await delay(source, target, message)
+        state = self.network.link_state(source, target)
+        if state is LinkState.SILENT:
             await asyncio.Event().wait()
-        if way is Way.REFUSED or self.closed or not self.process.alive:
+        if state is LinkState.REFUSED or self.closed or not self.process.alive:
             self.close("reset")
             raise ConnectionResetError("reset")
 
 
 class Network:
-    """All processes by their hosts, and the ways between those."""
+    """The processes by host, and the state of the links between them."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Begin whole."""
+        """Start without partitions."""
         self.loop = loop
         self.exchanges: set[asyncio.Task] = set()
-        self.process_by_host: dict[str, PretendedProcess] = {}
-        self.cut: list[tuple[set[str], Way]] = []
-        self.hold: Callable[[str, str, object], Awaitable[None]] | None = None
-        """Called with each message on its way; what it waits for holds it up."""
-
-    def way(self, near: str, far: str) -> Way:
-        """Return what becomes of a connection from `near` to `far`."""
-        for hosts, way in self.cut:
-            if (near in hosts) != (far in hosts):
-                return way
-        return Way.OPEN
-
-    def refused(self, near: str, far: str) -> bool:
-        """Tell whether `far` or the network refuses a connection."""
-        way = self.way(near, far)
-        process = self.process_by_host.get(far)
-        gone = process is None or not process.listens
-        return way is Way.REFUSED or (way is Way.OPEN and gone)
-
-
-class PretendedPeers:
-    """The connections that one process has opened."""
+        self.process_by_host: dict[str, SimulatedProcess] = {}
+        self.partitions: list[tuple[set[str], LinkState]] = []
+        """Groups of hosts, and the state of their links to all other hosts."""
+        self.delay_message: Callable[[str, str, object], Awaitable[None]] | None = None
+        """Awaited before a message is delivered; a test sets it to delay messages."""
+
+    def link_state(self, source: str, target: str) -> LinkState:
+        """Return the state of the link from `source` to `target`."""
+        for hosts, state in self.partitions:
+            if (source in hosts) != (target in hosts):
+                return state
+        return LinkState.OPEN
+
+    def is_refused(self, source: str, target: str) -> bool:
+        """Return whether `target` or the network refuses connections."""
+        state = self.link_state(source, target)
+        process = self.process_by_host.get(target)
+        port_closed = process is None or not process.is_listening
+        return state is LinkState.REFUSED or (state is LinkState.OPEN and port_closed)
+
+
+class FakePeers:
+    """One process's connections to other processes."""
 
     def __init__(self, network: Network, host: str) -> None:
         """Connect from `host`."""
         self.network = network
         self.host = host
-        self.stream_by_host: dict[str, PretendedStream] = {}
+        self.stream_by_host: dict[str, FakeStream] = {}
 
     async def stream(self, host: str, port: int):
         """Return the open stream to an address, or open one."""
@@ -292,80 +296,80 @@
         stream = self.stream_by_host.get(host)
         if stream is not None and stream.usable and stream.process.alive:
             return stream
-        way = network.way(self.host, host)
-        if way is Way.SILENT:
+        state = network.link_state(self.host, host)
+        if state is LinkState.SILENT:
             await asyncio.sleep(0.6)
             return Lost(False, "no answer")
-        await asyncio.sleep(TRAVEL_SECONDS)
-        if network.refused(self.host, host):
+        await asyncio.sleep(NETWORK_LATENCY_SECONDS)
+        if network.is_refused(self.host, host):
             return Lost(False, "refused")
-        stream = PretendedStream(network, self.host, host)
+        stream = FakeStream(network, self.host, host)
         self.stream_by_host[host] = stream
         return stream
 
     async def call(self, host: str, port: int, message, *, timeout: float):
-        """Call a process."""
+        """Send a message to a process and return the answer."""
         stream = await self.stream(host, port)
         if isinstance(stream, Lost):
             return stream
         return await stream.call(message, timeout=timeout)
 
     async def refused(self, host: str, port: int) -> bool:
-        """Tell whether a connection is refused."""
-        await asyncio.sleep(TRAVEL_SECONDS)
-        return self.network.refused(self.host, host)
+        """Return whether a connection to a host is refused."""
+        await asyncio.sleep(NETWORK_LATENCY_SECONDS)
+        return self.network.is_refused(self.host, host)
 
 
-class PretendedProcess:
-    """What entries and agents have in common: tasks, handlers, an end."""
+class SimulatedProcess:
+    """The common part of entries and agents: tasks, handlers, and being killed."""
 
     def __init__(self, world: "TakeoverWorld", node: str, host: str) -> None:
-        """Listen at `host`; nothing runs yet."""
+        """Listen at `host`, with no task running."""
         self.world = world
         self.node = node
         self.host = host
         self.incarnation = next(world.incarnations)
         self.alive = True
-        self.listens = True
-        self.store = PretendedStore(world.keyspace, world.clock)
-        self.peers = PretendedPeers(world.network, host)
+        self.is_listening = True
+        self.store = FakeStore(world.keyspace, world.clock)
+        self.peers = FakePeers(world.network, host)
         self.handlers: dict[type, Callable] = {}
         self.tasks: list[asyncio.Task] = []
         world.network.process_by_host[host] = self
 
     def spawn(self, work) -> None:
-        """Run a part for ever."""
+        """Run a coroutine until the process is killed."""
         self.tasks.append(self.world.loop.create_task(work))
 
-    async def answer(self, stream: PretendedStream, message):
-        """Serve a call."""
+    async def answer(self, stream: FakeStream, message):
+        """Return the handler's answer to a message."""
         handler = self.handlers.get(type(message))
         if handler is None:
             return Refused("unavailable", "not served here")
         return await handler(stream, message)
 
-    def plain(self, handler) -> Callable:
-        """Return a handler that needs no stream."""
+    def without_stream(self, handler) -> Callable:
+        """Return a handler that drops its stream argument."""
         return lambda stream, message: handler(message)
 
     def kill(self) -> None:
-        """End at once."""
-        self.alive = self.listens = False
+        """Stop all tasks and close the port at once."""
+        self.alive = self.is_listening = False
         for task in self.tasks:
             task.cancel()
 
 
-class PretendedEntry(PretendedProcess):
-    """An entry: its part in the leadership, and the leader while it leads."""
+class SimulatedEntry(SimulatedProcess):
+    """An entry with its leader election, and the leader's work while it leads."""
 
     def __init__(
         self, world: "TakeoverWorld", node: str, host: str, weight: float = 1.0
     ) -> None:
-        """Wire the parts; `weight` is its processor time."""
+        """Connect the parts and start; `weight` is the entry's processor time."""
         super().__init__(world, node, host)
         self.weight = weight
         self.refused_reports: Counter[str] = Counter()
-        """By agent, while this entry leads and restores."""
+        """Reports refused per agent, while this entry leads but is not yet ready."""
         self.leader: Leader | None = None
         self.leadership = Leadership(
             Identity(node, Role.ENTRY, self.incarnation, "s"),
@@ -378,12 +382,12 @@
         )
         leadership = self.leadership
         self.handlers = {
-            WhoLeads: self.plain(leadership.who_leads),
-            Leads: self.plain(leadership.leads_now),
-            KeepFollowing: self.plain(leadership.keep_following),
-            TakeOver: self.plain(leadership.take_over),
+            WhoLeads: self.without_stream(leadership.who_leads),
+            Leads: self.without_stream(leadership.leads_now),
+            KeepFollowing: self.without_stream(leadership.keep_following),
+            TakeOver: self.without_stream(leadership.take_over),
             Report: self._report,
-            Submitted: self.plain(self._submitted),
+            Submitted: self.without_stream(self._submitted),
         }
         self.spawn(leadership.run())
 
@@ -416,13 +420,13 @@
         return await self.leader.submitted(message)
 
 
-class PretendedAgent(PretendedProcess):
-    """An agent's tie to the leader, and a worker that keeps to its leases."""
+class SimulatedAgent(SimulatedProcess):
+    """An agent's link to the leader, and a worker whose runs end with their lease."""
 
     def __init__(
         self, world: "TakeoverWorld", node: str, host: str, worker: PretendedWorker
     ) -> None:
-        """Wire the parts; `worker` may run on from the agent's earlier life."""
+        """Connect the parts and start; `worker` may outlive the agent's incarnation."""
         super().__init__(world, node, host)
         self.worker = worker
         self.lease_until = 0.0
@@ -432,15 +436,15 @@
             clock=world.clock,
             entries=[(host, PORT) for host in world.entry_hosts],
             make_report=self._make_report,
-            on_answer=self._answered,
-            on_orders=self._take,
+            on_answer=self._forget_refused,
+            on_orders=self._carry_out,
         )
         self.handlers = {
-            Leads: self.plain(self.following.leads_now),
+            Leads: self.without_stream(self.following.leads_now),
             Orders: self._orders,
         }
         self.spawn(self.following.run())
-        self.spawn(self._renew())
+        self.spawn(self._renew_leases())
 
     def _make_report(self, epoch, orders_taken: int) -> Report:
         self.worker.orders_taken = orders_taken
@@ -452,61 +456,62 @@
             epoch=epoch,
         )
 
-    def _answered(self, report: Report) -> None:
+    def _forget_refused(self, report: Report) -> None:
         self.worker.refused = []
 
     async def _orders(self, stream, message):
         return await self.following.orders(stream, message, None)
 
-    def _take(self, orders: Orders) -> None:
+    def _carry_out(self, orders: Orders) -> None:
         now = self.world.clock()
         for start in orders.starts:
             if not self.following.may_act():
                 self.worker.refused.append((start.key, Refusal.NOT_ALLOWED))
                 continue
-            self._lengthen(now)
+            self._extend_lease(now)
             self.worker.running[start.key] = start
-            self.world.started(self, start.key)
+            self.world.record_start(self, start.key)
         for key in orders.stops:
             self.worker.end(key, RunEnd.STOPPED)
         self.following.news()
 
-    def _lengthen(self, now: float) -> None:
+    def _extend_lease(self, now: float) -> None:
         until = min(now + RUN_LEASE, self.following.contact_at + RUN_HORIZON)
         if until > now:
-            # The worker's clock is as slow as it may be.
+            # The worker's clock is as slow as the allowed drift permits.
             longest = now + (until - now) * CLOCK_DRIFT
             self.lease_until = max(self.lease_until, longest)
 
-    async def _renew(self) -> None:
+    async def _renew_leases(self) -> None:
         while True:
-            self._lengthen(self.world.clock())
+            self._extend_lease(self.world.clock())
             await asyncio.sleep(RENEW_SECONDS)
 
 
 class TakeoverWorld:
-    """Entries and agents that begin together, and the oracle of what runs."""
+    """Entries and agents that start together, and a check for duplicate runs."""
 
     def __init__(
         self, *, entries: int, agents: int, weights: Sequence[float] = ()
     ) -> None:
-        """Start everything; `weights` are the entries' processor times."""
+        """Start all processes; `weights` are the entries' processor times."""
         self.loop = VirtualLoop(settle=0.0)
         self.keyspace = Keyspace()
         self.network = Network(self.loop)
         self.incarnations = iter(range(1, 1000))
         self.starts: list[tuple[float, str, object]] = []
         self.overlaps: list[str] = []
-        self.jobs = 0
+        """Starts of a task that ran elsewhere, one line each."""
+        self.job_count = 0
         self.entry_hosts = [f"entry-host-{n}" for n in range(1, entries + 1)]
         self.entries = [
-            PretendedEntry(self, f"entry-{n}", host, weight)
+            SimulatedEntry(self, f"entry-{n}", host, weight)
             for n, (host, weight) in enumerate(
                 zip(self.entry_hosts, weights or [1.0] * entries, strict=True), 1
             )
         ]
         self.agents = [
-            PretendedAgent(
+            SimulatedAgent(
                 self,
                 f"agent-{n}",
                 f"agent-host-{n}",
@@ -514,43 +519,43 @@
             )
             for n in range(1, agents + 1)
         ]
-        self._look = self.loop.create_task(self._lapse())
+        self._expiry = self.loop.create_task(self._expire_leases())
 
     def clock(self) -> float:
-        """Return the time of every process."""
+        """Return the time in seconds, the same for all processes."""
         return CLOCK_START + self.loop.time()
 
     def close(self) -> None:
-        """End everything."""
+        """Stop the event loop."""
         self.loop.end()
 
-    # ---- what happens
-
     def wait(self, seconds: float) -> None:
-        """Let time pass."""
+        """Let virtual time pass."""
         self.loop.pass_time(seconds)
 
-    def until(self, holds: Callable[[], bool], seconds: float, what: str) -> float:
-        """Let time pass until something holds; return how many seconds that took."""
-        began = self.clock()
-        while not holds():
-            assert self.clock() - began < seconds, f"not within {seconds} s: {what}"
+    def until(self, condition: Callable[[], bool], seconds: float, what: str) -> float:
+        """Let time pass until a condition is true; return the seconds that passed."""
+        started_at = self.clock()
+        while not condition():
+            assert self.clock() - started_at < seconds, (
+                f"not within {seconds} s: {what}"
+            )
             self.wait(0.01)
-        return self.clock() - began
+        return self.clock() - started_at
 
     def submit(self, count: int = 1, cores: float = 4.0) -> str:
-        """Store a job, and tell the leader."""
-        self.jobs += 1
-        job = make_job(f"job-{self.jobs}", plain(count, cores=cores))
+        """Store a job of `count` tasks; return its id."""
+        self.job_count += 1
+        job = make_job(f"job-{self.job_count}", plain(count, cores=cores))
         self.keyspace.commit(Txn([], {job_key(job.id): encode(job)}))
         return job.id
 
-    def leading(self) -> list[PretendedEntry]:
+    def leading(self) -> list[SimulatedEntry]:
         """Return the entries that may act as leaders now."""
         return [e for e in self.entries if e.alive and e.leader and e.leader.acting]
 
-    def until_led(self, but: PretendedEntry | None = None) -> PretendedEntry:
-        """Wait until an entry leads, another one than `but`."""
+    def until_led(self, but: SimulatedEntry | None = None) -> SimulatedEntry:
+        """Wait until an entry other than `but` leads, and return it."""
 
         def led() -> bool:
             return any(entry is not but for entry in self.leading())
@@ -558,23 +563,21 @@
         self.until(led, 20.0, "an entry leads")
         return next(entry for entry in self.leading() if entry is not but)
 
-    def restart(self, process: PretendedProcess) -> PretendedProcess:
-        """Start a killed process again."""
-        if isinstance(process, PretendedEntry):
+    def restart(self, process: SimulatedProcess) -> SimulatedProcess:
+        """Return a new incarnation of a killed process."""
+        if isinstance(process, SimulatedEntry):
             number = self.entries.index(process)
-            new = PretendedEntry(self, process.node, process.host, process.weight)
-            self.entries[number] = new
-            return new
+            entry = SimulatedEntry(self, process.node, process.host, process.weight)
+            self.entries[number] = entry
+            return entry
         number = self.agents.index(process)
-        again = PretendedAgent(self, process.node, process.host, process.worker)
-        again.lease_until = process.lease_until
-        self.agents[number] = again
-        return again
-
-    # ---- what really runs
+        agent = SimulatedAgent(self, process.node, process.host, process.worker)
+        agent.lease_until = process.lease_until
+        self.agents[number] = agent
+        return agent
 
-    def started(self, agent: PretendedAgent, key) -> None:
-        """Note a start, and whether the task runs elsewhere."""
+    def record_start(self, agent: SimulatedAgent, key) -> None:
+        """Record a start, and an overlap if the task already runs elsewhere."""
         now = self.clock()
         self.starts.append((now, agent.node, key))
         for other in self.agents:
@@ -582,11 +585,11 @@
                 if run.task == key.task and run != key:
                     self.overlaps.append(f"{now:.3f}: {key} and {run} at {other.node}")
 
-    def running(self) -> list[tuple[PretendedAgent, object]]:
-        """Return all that runs."""
+    def running(self) -> list[tuple[SimulatedAgent, object]]:
+        """Return all runs that go on, with their agents."""
         return [(agent, key) for agent in self.agents for key in agent.worker.running]
 
-    async def _lapse(self) -> None:
+    async def _expire_leases(self) -> None:
         while True:
             for agent in self.agents:
                 if self.clock() >= agent.lease_until:
