--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -1,4 +1,4 @@
-"""A short run of the soak, its judge, and links that refuse."""
+"""Steps on a short soak test, its checker, and links that refuse connections."""
 
 import socket
 import tempfile
@@ -7,27 +7,27 @@
 from behave import given, then, when
 
 from soak.callers import Submitted
-from soak.judge import problems
-from soak.run import play
+from soak.checker import find_violations
+from soak.run import run_seed
 from standins.processes import Process, wait_for
 
-TWICE = "twice at once"
+TWICE_AT_ONCE = "twice at once"
 JOB = "ab12"
 TASK = f"{JOB}.0.0.0"
 HOST = "127.0.0.1"
-SECONDS = 5.0
+TIMEOUT_SECONDS = 5.0
 
 
-@when("seed {seed:d} is played with {seconds:d} s of faults")
-def step_play(context, seed, seconds):
+@when("seed {seed:d} is run with {seconds:d} s of faults")
+def step_run_seed(context, seed, seconds):
     folder = tempfile.TemporaryDirectory()
     context.add_cleanup(folder.cleanup)
-    context.found = play(seed, Path(folder.name), float(seconds))
+    context.violations = run_seed(seed, Path(folder.name), float(seconds))
 
 
-@then("no promise was broken")
-def step_kept(context):
-    assert not context.found, context.found
+@then("no guarantee was violated")
+def step_no_violation(context):
+    assert not context.violations, context.violations
 
 
 @given("a job of 1 task that was accepted")
@@ -36,8 +36,8 @@
     context.job = Submitted(JOB, steps, [200], accepted_at=1.0)
 
 
-def judged(context, rows):
-    context.found = problems([context.job], rows, [], 6.0)
+def check(context, rows):
+    context.violations = find_violations([context.job], rows, [], 6.0)
 
 
 def start(at, instance, run):
@@ -53,34 +53,38 @@
 )
 def step_twice(context, one, other, same):
     rows = [start(2.0, one, 1), start(3.0, other, 1001)]
-    judged(context, [*rows, end(3.1, same, 1, "lapsed"), end(4.0, other, 1001, "done")])
+    check(context, [*rows, end(3.1, same, 1, "lapsed"), end(4.0, other, 1001, "done")])
 
 
 @when('its task ends on "{one}" before it starts on "{other}"')
 def step_in_turn(context, one, other):
     rows = [start(2.0, one, 1), end(2.9, one, 1, "lapsed")]
-    judged(context, [*rows, start(3.0, other, 1001), end(4.0, other, 1001, "done")])
+    check(context, [*rows, start(3.0, other, 1001), end(4.0, other, 1001, "done")])
 
 
-@then("the judge tells of a task that runs twice at once")
-def step_told(context):
-    assert any(TWICE in line for line in context.found), context.found
+@then("the checker reports a task that runs twice at once")
+def step_reported(context):
+    assert any(TWICE_AT_ONCE in line for line in context.violations), context.violations
 
 
-@then("the judge tells of no task that runs twice at once")
-def step_not_told(context):
-    assert not any(TWICE in line for line in context.found), context.found
+@then("the checker reports no task that runs twice at once")
+def step_not_reported(context):
+    assert not any(TWICE_AT_ONCE in line for line in context.violations), (
+        context.violations
+    )
 
 
-def connected(context, name):
-    """Connect to the link, name itself as peers do, and wait for an answer."""
-    opened = socket.create_connection((HOST, context.link.ready["port"]), SECONDS)
-    context.add_cleanup(opened.close)
-    assert answered(opened, name)
-    return opened
+def connect_as(context, name):
+    """Connect to the link as `name`, as peers do, and wait for an answer."""
+    connection = socket.create_connection(
+        (HOST, context.link.ready["port"]), TIMEOUT_SECONDS
+    )
+    context.add_cleanup(connection.close)
+    assert is_answered(connection, name)
+    return connection
 
 
-def answered(connection, name):
+def is_answered(connection, name):
     request = f"GET /{name} HTTP/1.1\r\nHost: {name}\r\n\r\n"
     connection.sendall(request.encode())
     return connection.recv(1000).startswith(b"HTTP/1.1 200")
@@ -96,7 +100,7 @@
     context.link = Process("link", Path(folder.name), "standins.link", target)
     context.add_cleanup(context.link.close)
     context.connection_by_name = {
-        name: connected(context, name) for name in (one, other)
+        name: connect_as(context, name) for name in (one, other)
     }
 
 
@@ -108,10 +112,10 @@
 @then("a new connection to the link is refused")
 def step_refused(context):
     try:
-        socket.create_connection((HOST, context.link.ready["port"]), SECONDS)
+        socket.create_connection((HOST, context.link.ready["port"]), TIMEOUT_SECONDS)
     except ConnectionRefusedError:
         return
-    raise AssertionError("somebody listens")
+    raise AssertionError("the port accepts connections")
 
 
 @then('the connection of "{name}" is reset, and that of "{other}" is still answered')
@@ -122,8 +126,8 @@
         except ConnectionResetError:
             return True
 
-    wait_for(is_reset, SECONDS, "the connection is reset")
-    assert answered(context.connection_by_name[other], other)
+    wait_for(is_reset, TIMEOUT_SECONDS, "the connection is reset")
+    assert is_answered(context.connection_by_name[other], other)
 
 
 @when("the link listens again")
@@ -133,4 +137,4 @@
 
 @then('a new connection of "{name}" is answered')
 def step_new(context, name):
-    connected(context, name)
+    connect_as(context, name)
--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,7 +1,7 @@
-"""A randomized soak: the real programs, faults from outside, promises checked.
+"""A randomized soak test: the real programs under injected faults.
 
     python -m soak.run --seeds 1-50
 
-`deployment` starts the programs behind links, `faults` strikes them, `callers` hand in
-jobs, `judge` compares what callers and workers saw with what is promised.
+`deployment` starts the programs behind links, `faults` injects faults, `callers` submit
+jobs, and `checker` compares what callers and workers observed with the guarantees.
 """
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults from outside: signals to programs, switches of links and stand-ins."""
+"""Fault injection: signals to programs, and fault switches of links and stand-ins."""
 
 import random
 import time
@@ -11,45 +11,45 @@
 
 Undo = Callable[[], None]
 LONGEST_PAUSE_SECONDS = 6.0
-"""Longer than a leader acts without renewing, and than runs go on without an agent."""
+"""Longer than a leader acts without a renewal, and than runs go on without an agent."""
 
 SHORTEST_CUT_SECONDS = 6.0
 LONGEST_CUT_SECONDS = 11.0
-"""Longer than runs go on without a leader, and than the next one waits for them."""
+"""Longer than runs go on without a leader, and than the next leader's recovery."""
 ZONE_CUT = "zone cut"
-ZONES_CUT = 2
-"""Each of the first so many zones has an entry and an agent."""
-FREQUENT = 12
-"""How many times a kind of fault that is emphasised stands among the others.
+CUTTABLE_ZONES = 2
+"""The first zones, each of which has an entry and an agent."""
+EMPHASIS_WEIGHT = 12
+"""How many times an emphasised kind of fault is listed among the others.
 
-Nearly half of all faults: most seeds see two cuts, one around the leader, and few
-other faults meanwhile, which would hide what the cut alone does.
+This makes it nearly half of all faults: most seeds see two cuts, one around the leader,
+and few other faults at the same time, which would hide the effect of the cut alone.
 """
 SLOWEST_BYTES_PER_SECOND = 200_000
 FASTEST_BYTES_PER_SECOND = 800_000
 
 
 class Emphasis(Enum):
-    """A kind of fault that comes often; each has seeds of its own."""
+    """A kind of fault that is made frequent; each has its own recorded seeds."""
 
     NONE = ""
     REFUSALS = "refusals"
     """Zones are cut off by refused connections."""
     SLOW_ANSWERS = "slow-answers"
-    """Long answers of the store take seconds to arrive, or fall silent midway."""
+    """Long answers of the store take seconds to arrive, or stall midway."""
 
 
 @dataclass(order=True)
-class _Due:
-    """What ends a fault, and when."""
+class _ActiveFault:
+    """An active fault: when it ends, and the function that ends it."""
 
     at: float
     undo: Undo = field(compare=False)
-    what: str = field(compare=False, default="")
+    description: str = field(compare=False, default="")
 
 
 class Faults:
-    """Strikes in an order that the seed decides; faults overlap."""
+    """Injects random faults, decided by a seed; faults may overlap."""
 
     def __init__(
         self,
@@ -57,15 +57,15 @@
         seed: int,
         emphasis: Emphasis = Emphasis.NONE,
     ) -> None:
-        """Begin with nothing wrong."""
+        """Start without faults."""
         self.log: list[tuple[float, str]] = []
-        """Wall clock seconds, and what was done."""
+        """Wall clock seconds and description of each start and end of a fault."""
         self.killed: list[tuple[float, str]] = []
-        """When a worker lost all it ran, and which."""
+        """Wall clock seconds and name of each worker that was killed with its runs."""
         self._deployment = deployment
         self._random = random.Random(f"faults/{seed}")
-        self._due: list[_Due] = []
-        self._struck: set[str] = set()
+        self._active: list[_ActiveFault] = []
+        self._affected: set[str] = set()
         self._version = 10
         self._kinds = [
             self._kill,
@@ -84,64 +84,64 @@
             self._zone,
         ]
         if emphasis is Emphasis.REFUSALS:
-            self._kinds += [self._refuse_zone] * FREQUENT
+            self._kinds += [self._refuse_zone] * EMPHASIS_WEIGHT
         elif emphasis is Emphasis.SLOW_ANSWERS:
-            self._kinds += [self._slow_answers] * FREQUENT
+            self._kinds += [self._slow_answers] * EMPHASIS_WEIGHT
 
-    def play(self, seconds: float) -> None:
-        """Strike for a while, then heal everything."""
+    def inject(self, seconds: float) -> None:
+        """Inject faults for `seconds`, then end them all."""
         end = time.monotonic() + seconds
         next_at = time.monotonic()
         while time.monotonic() < end:
-            self._heal(time.monotonic())
+            self._end_due(time.monotonic())
             if time.monotonic() >= next_at:
                 self._random.choice(self._kinds)()
                 next_at = time.monotonic() + self._random.uniform(0.1, 1.5)
             time.sleep(0.02)
-        self._heal(float("inf"))
+        self._end_due(float("inf"))
 
-    def _heal(self, now: float) -> None:
-        while self._due and min(self._due).at <= now:
-            due = min(self._due)
-            self._due.remove(due)
-            self._note(f"end of {due.what}")
-            due.undo()
+    def _end_due(self, now: float) -> None:
+        while self._active and min(self._active).at <= now:
+            fault = min(self._active)
+            self._active.remove(fault)
+            self._record(f"end of {fault.description}")
+            fault.undo()
 
-    def _note(self, what: str) -> None:
-        self.log.append((time.time(), what))
+    def _record(self, description: str) -> None:
+        self.log.append((time.time(), description))
 
-    def _strike(self, name: str, what: str, seconds: float, undo: Undo) -> None:
-        self._note(what)
-        self._struck.add(name)
+    def _inject(self, name: str, description: str, seconds: float, undo: Undo) -> None:
+        self._record(description)
+        self._affected.add(name)
 
-        def heal() -> None:
-            self._struck.discard(name)
+        def end_fault() -> None:
+            self._affected.discard(name)
             undo()
 
-        self._due.append(_Due(time.monotonic() + seconds, heal, what))
+        self._active.append(
+            _ActiveFault(time.monotonic() + seconds, end_fault, description)
+        )
 
-    def _free(self, processes: list[Process]) -> Process | None:
-        """Return one that no fault has struck."""
-        left = [p for p in processes if p.name not in self._struck and p.alive]
+    def _pick_unaffected(self, processes: list[Process]) -> Process | None:
+        """Return a random live process without an active fault, or None."""
+        left = [p for p in processes if p.name not in self._affected and p.alive]
         return self._random.choice(left) if left else None
 
     def _programs(self) -> list[Process]:
         return [*self._deployment.entries, *self._deployment.agents]
 
-    # ---- signals
-
     def _kill(self) -> None:
-        program = self._free(self._programs())
+        program = self._pick_unaffected(self._programs())
         if program is not None:
             program.kill()
             seconds = self._random.uniform(0.1, 2.5)
-            self._strike(program.name, f"kill {program.name}", seconds, program.start)
+            self._inject(program.name, f"kill {program.name}", seconds, program.start)
 
     def _terminate(self) -> None:
-        program = self._free(self._programs())
+        program = self._pick_unaffected(self._programs())
         if program is None:
             return
-        # SIGTERM; it goes on with its open connections until it has ended.
+        # SIGTERM: the process keeps serving its open connections until it exits.
         program.signal_to_stop()
 
         def restart() -> None:
@@ -149,24 +149,22 @@
             program.start()
 
         seconds = self._random.uniform(0.5, 4.0)
-        self._strike(program.name, f"terminate {program.name}", seconds, restart)
+        self._inject(program.name, f"terminate {program.name}", seconds, restart)
 
     def _pause(self) -> None:
-        program = self._free(self._programs())
+        program = self._pick_unaffected(self._programs())
         if program is not None:
             program.freeze()
             seconds = self._random.uniform(0.2, LONGEST_PAUSE_SECONDS)
-            self._strike(program.name, f"pause {program.name}", seconds, program.thaw)
+            self._inject(program.name, f"pause {program.name}", seconds, program.thaw)
 
     def _kill_worker(self) -> None:
-        worker = self._free(list(self._deployment.workers))
+        worker = self._pick_unaffected(list(self._deployment.workers))
         if worker is not None:
             worker.kill()
             self.killed.append((time.time(), worker.name))
             seconds = self._random.uniform(0.1, 3.0)
-            self._strike(worker.name, f"kill {worker.name}", seconds, worker.start)
-
-    # ---- the platform
+            self._inject(worker.name, f"kill {worker.name}", seconds, worker.start)
 
     def _worker_late(self) -> None:
         self._switch_worker(late_seconds=self._random.uniform(0.3, 2.0))
@@ -175,15 +173,15 @@
         self._switch_worker(silent=True)
 
     def _switch_worker(self, **switches: float | bool) -> None:
-        worker = self._free(list(self._deployment.workers))
+        worker = self._pick_unaffected(list(self._deployment.workers))
         if worker is not None:
             worker.faults(**switches)
             seconds = self._random.uniform(0.5, 5.0)
-            what = f"{worker.name} {switches}"
-            self._strike(worker.name, what, seconds, worker.faults)
+            description = f"{worker.name} {switches}"
+            self._inject(worker.name, description, seconds, worker.faults)
 
     def _store(self) -> None:
-        store = self._free([self._deployment.store])
+        store = self._pick_unaffected([self._deployment.store])
         if store is None:
             return
         switches: dict[str, object] = self._random.choice(
@@ -198,10 +196,10 @@
         )
         store.faults(**switches)
         seconds = self._random.uniform(0.5, 4.0)
-        self._strike(store.name, f"store {switches}", seconds, store.faults)
+        self._inject(store.name, f"store {switches}", seconds, store.faults)
 
     def _slow_answers(self) -> None:
-        store = self._free([self._deployment.store])
+        store = self._pick_unaffected([self._deployment.store])
         if store is None:
             return
         rate = self._random.randint(SLOWEST_BYTES_PER_SECOND, FASTEST_BYTES_PER_SECOND)
@@ -210,12 +208,12 @@
             switches["stall_after_bytes"] = rate
         store.faults(**switches)
         seconds = self._random.uniform(2.0, 6.0)
-        self._strike(store.name, f"store {switches}", seconds, store.faults)
+        self._inject(store.name, f"store {switches}", seconds, store.faults)
 
     def _link(self) -> None:
         name = self._random.choice(sorted(self._deployment.links))
         link = self._deployment.links[name]
-        if link.name in self._struck:
+        if link.name in self._affected:
             return
         switches: dict[str, object] = self._random.choice(
             [
@@ -228,57 +226,56 @@
         )
         link.faults(**switches)
         seconds = self._random.uniform(0.3, 4.0)
-        self._strike(link.name, f"link {name} {switches}", seconds, link.faults)
+        self._inject(link.name, f"link {name} {switches}", seconds, link.faults)
 
     def _refuse_zone(self) -> None:
-        """Cut the entry and the agent of a zone off together, by refusals.
+        """Cut the entry and the agent of a zone off together, by refused connections.
 
-        All processes live, and those of a side go on with the connections that they
-        have among themselves. Sometimes new ones are refused on both sides.
+        All processes stay alive, and those on one side keep the connections among
+        themselves. Sometimes new connections are refused on both sides.
         """
-        inside = self._deployment.zone_names(self._random.randrange(ZONES_CUT))
+        inside = self._deployment.zone_names(self._random.randrange(CUTTABLE_ZONES))
         seconds = self._random.uniform(SHORTEST_CUT_SECONDS, LONGEST_CUT_SECONDS)
-        both = self._random.random() < 0.5
+        refuse_both = self._random.random() < 0.5
         outside = [p.name for p in self._programs() if p.name not in inside]
         links = self._deployment.links
         to_store = [links[f"{name}>store"] for name in inside]
         to_peers = {name: links[f"peers>{name}"] for name in [*inside, *outside]}
-        struck = [*to_store, *to_peers.values()]
-        # What is inside lives on, and the end of a link's other fault would end this.
-        kept = {ZONE_CUT, *inside, *(link.name for link in struck)}
-        if self._struck & kept:
+        affected_links = [*to_store, *to_peers.values()]
+        # The programs inside must stay alive, and the end of another fault on one of
+        # these links would also end this one.
+        affected = {ZONE_CUT, *inside, *(link.name for link in affected_links)}
+        if self._affected & affected:
             return
         for link in to_store:
             link.faults(refuse=True, cut=True)
         for name, link in to_peers.items():
             others = outside if name in inside else inside
-            link.faults(refuse=both or name in inside, reset_from=others)
-        self._struck |= kept
+            link.faults(refuse=refuse_both or name in inside, reset_from=others)
+        self._affected |= affected
 
-        def heal() -> None:
-            self._struck -= kept
-            for link in struck:
+        def end_fault() -> None:
+            self._affected -= affected
+            for link in affected_links:
                 link.faults()
 
-        what = f"refusals around {inside}{', of all new' if both else ''}"
-        self._strike(ZONE_CUT, what, seconds, heal)
-
-    # ---- operators
+        description = f"refusals around {inside}{', of all new' if refuse_both else ''}"
+        self._inject(ZONE_CUT, description, seconds, end_fault)
 
     def _configure(self) -> None:
-        if "store" not in self._struck:
+        if "store" not in self._affected:
             self._version += 1
             queues = ("holds", f"extra-{self._version}")
             self._deployment.configure(version=self._version, queues=queues)
-            self._note(f"configuration {self._version}")
+            self._record(f"configuration {self._version}")
 
     def _zone(self) -> None:
-        if "store" in self._struck or "zone" in self._struck:
+        if "store" in self._affected or "zone" in self._affected:
             return
         key = f"op/evacuate/{self._random.choice(['zilina-a', 'zilina-b'])}"
         self._deployment.operate({key: {}})
-        self._strike("zone", f"{key}", 2.0, lambda: self._take_back(key))
+        self._inject("zone", f"{key}", 2.0, lambda: self._cancel_evacuation(key))
 
-    def _take_back(self, key: str) -> None:
+    def _cancel_evacuation(self, key: str) -> None:
         self._deployment.store.faults()
         self._deployment.operate({}, remove=(key,))
