--- a/features/steps/takeover_state.py
+++ b/features/steps/takeover_state.py
@@ -22,10 +22,10 @@
     RIVALS_ON_REFUSAL = "after a claim on a refusal, the previous leader is a rival"
     FRESH_READS = "a restarted agent reads the epoch before it follows a leader"
     FENCE = "each incarnation of an agent has a higher fencing token"
-    RIVALS_HANDED_ON = "a leader that resigns tells its successor of possible rivals"
+    RIVALS_HANDED_ON = "a leader inherits the possible rivals of its predecessor"
     PROMISE_COUNTS = "the leader to which an entry gave a promise is a rival"
     JOBS_LISTED_AGAIN = "a leader lists the jobs again once no rival may act"
-    UNLISTED_HOLDS = "a report without a list of runs restarts the recovery wait"
+    UNLISTED_HOLDS = "a report without a list of runs extends the recovery wait"
     GIVE_UP_RENEWED = "only a renewal sent after an agent's timeout gives it up"
     WORD_READS = "a restarted entry reads the epoch before it gives a promise"
 
