--- a/bench/sharing.py
+++ b/bench/sharing.py
@@ -20,7 +20,7 @@
 from bench.report import commit
 from bench.sharing_fleet import Fleet, Outcome
 from wagtailcleat.scheduling import sharing
-from wagtailcleat.scheduling.order import Lateness
+from wagtailcleat.scheduling.ranking import Lateness
 from wagtailcleat.scheduling.scheduler import Scheduler
 
 DAY_SECONDS = 45.0
@@ -42,10 +42,10 @@
 def _nothing_beside(scheduler: Scheduler) -> None:
     """Let nothing fill beside what serves."""
     scheduler.sharing.admits = (  # type: ignore[method-assign]
-        lambda vm, step, now, lateness=Lateness.IN_TIME: not vm.serving
+        lambda vm, step, now, lateness=Lateness.IN_TIME: not vm.serving_runs
     )
-    scheduler.sharing.bears = (  # type: ignore[method-assign]
-        lambda vm, step, most: not vm.serving
+    scheduler.sharing.stays_within = (  # type: ignore[method-assign]
+        lambda vm, step, most: not vm.serving_runs
     )
 
 
--- a/features/steps/bursts_steps.py
+++ b/features/steps/bursts_steps.py
@@ -9,18 +9,18 @@
 
 from features.steps.scheduling_world import (
     SERVICE,
-    PretendedWorker,
     SchedulingWorld,
+    SimulatedWorker,
     make_job,
     plain,
     serving,
 )
 from wagtailcleat.resources import Resources
 from wagtailcleat.scheduling import placement
-from wagtailcleat.scheduling.book import Book
+from wagtailcleat.scheduling.book import JobTable
 from wagtailcleat.scheduling.models import WorkerInfo, WorkerState
 from wagtailcleat.scheduling.placement import Candidates, choose
-from wagtailcleat.scheduling.vms import Hosted, Vm
+from wagtailcleat.scheduling.vms import HostedRun, Vm
 
 START_BYTES = 1000
 
@@ -118,7 +118,7 @@
     }
     kind = chance.choice((plain, serving))
     step = kind(chance.randint(1, 20), cores=chance.choice((1.0, 4.0, 9.0)), **more)
-    entry = Book().add(make_job("job", step), now=0.0, wall_now=0.0)
+    entry = JobTable().add(make_job("job", step), now=0.0, wall_now=0.0)
     tasks = entry.tasks_by_step[0, 0]
     for task in tasks:
         if chance.random() < 0.2:
@@ -140,13 +140,13 @@
     )
     vm = Vm(f"vm-{number}", "127.0.0.1", 1, "zilina-a", 0.0, worker=info)
     used = plain(1, cores=float(chance.randint(0, 8)))
-    other = Book().add(make_job(f"used-{number}", used), now=0.0, wall_now=0.0)
+    other = JobTable().add(make_job(f"used-{number}", used), now=0.0, wall_now=0.0)
     _host(vm, other.tasks_by_step[0, 0][0])
     return vm
 
 
 def _host(vm, task):
-    vm.host_run(Hosted(task.run_key, task.step, 0.0))
+    vm.host_run(HostedRun(task.run_key, task.step, 0.0))
 
 
 def _chosen_one_by_one(vms, tasks):
@@ -165,19 +165,19 @@
 def _chosen_together(vms, tasks):
     racks = Counter()
     chosen = []
-    by_kind = {}
+    candidates_by_key = {}
     for task in tasks:
-        kind = placement.kind_of(task, racks)
-        if kind not in by_kind:
-            by_kind[kind] = Candidates(vms, task, now=0.0, racks=racks)
-        vm = by_kind[kind].best()
+        key = placement.scoring_key(task, racks)
+        if key not in candidates_by_key:
+            candidates_by_key[key] = Candidates(vms, task, now=0.0, racks=racks)
+        vm = candidates_by_key[key].best()
         if vm is None:
             break
         _host(vm, task)
         racks[vm.rack] += 1
         chosen.append(vm.node)
-        for candidates in by_kind.values():
-            candidates.changed(vm)
+        for candidates in candidates_by_key.values():
+            candidates.rescore(vm)
     return chosen
 
 
@@ -186,7 +186,7 @@
     " a second"
 )
 def step_slow_link(context, count, cores, rate):
-    workers = [PretendedWorker(f"vm-{n + 1}", cores=cores) for n in range(count)]
+    workers = [SimulatedWorker(f"vm-{n + 1}", cores=cores) for n in range(count)]
     context.world = SchedulingWorld(workers, start_bytes_per_second=rate)
 
 
--- a/features/steps/checkpoint_delta_steps.py
+++ b/features/steps/checkpoint_delta_steps.py
@@ -4,8 +4,8 @@
 from behave import given, then, when
 
 from features.steps.scheduling_world import (
-    PretendedWorker,
     SchedulingWorld,
+    SimulatedWorker,
     make_job,
     plain,
 )
@@ -18,7 +18,7 @@
 
 @given("an agent with {count:d} runs that have a checkpoint of {size:d} bytes each")
 def step_agent(context, count, size):
-    context.world = SchedulingWorld([PretendedWorker("n1")])
+    context.world = SchedulingWorld([SimulatedWorker("n1")])
     context.worker = context.world.worker_by_node["n1"]
     context.world.submit(make_job("job", plain(count, cores=0.1)))
     context.world.round()
@@ -198,5 +198,5 @@
 def step_goes_on(context):
     book = context.world.scheduler.book
     for key in context.keys:
-        task = book.task(key.task)
+        task = book.find_task(key.task)
         assert task.checkpoint == context.checkpoints[key.task]
--- a/features/steps/ended_runs_fuzz.py
+++ b/features/steps/ended_runs_fuzz.py
@@ -9,7 +9,7 @@
 from features.steps.scheduling_fuzz import History
 from features.steps.scheduling_world import make_job, plain
 from wagtailcleat.cluster.keys import decode, encode
-from wagtailcleat.scheduling.book import Book, JobEntry, TaskState, record_of
+from wagtailcleat.scheduling.book import JobEntry, JobTable, TaskState, record_of
 from wagtailcleat.scheduling.models import (
     JobRecord,
     JobState,
@@ -89,7 +89,7 @@
     def lead(self) -> None:
         """Replace the leader by one that knows what is stored."""
         record = decode(self.stored, JobRecord) if self.stored else None
-        self.book = Book()
+        self.book = JobTable()
         self.heard: set[End] = set()
         self.durable: set[End] = set()
         job = make_job(JOB, plain(TASKS, checkpointable=True), attempts=ATTEMPTS)
@@ -105,7 +105,7 @@
         if end not in self.listed:
             return
         self.heard.add(end)
-        self.book.ended(
+        self.book.record_end(
             end.run, end.how, end.checkpoint, node=end.node, now=0.0, wall_now=0.0
         )
 
--- a/features/steps/interference_steps.py
+++ b/features/steps/interference_steps.py
@@ -73,8 +73,8 @@
 def step_told_apart(context):
     for job in JOBS:
         for image in context.added_by_image:
-            estimate = context.learnt.added(job, image)
-            assert estimate.known, (job, image, estimate)
+            estimate = context.learnt.estimate(job, image)
+            assert estimate.is_known, (job, image, estimate)
             assert (estimate.mean > 1.0) == (image == "heavy"), (job, image, estimate)
             assert image == "heavy" or estimate.mean < 0.5, (job, image, estimate)
 
@@ -88,7 +88,7 @@
 @then("the load expected of both jobs is within {most:g} of their own")
 def step_expected(context, most):
     for job in JOBS:
-        own = context.learnt.own(job, job, context.now)
+        own = context.learnt.expected_own(job, job, context.now)
         idle = context.learnt.idle(job)
         expected = 1 - idle / (IDLE_LOAD / (1 - _own(job, context.now)))
         assert abs(own - expected) <= most, (job, own, expected)
--- a/features/steps/late_words_steps.py
+++ b/features/steps/late_words_steps.py
@@ -108,7 +108,7 @@
     # Such runs failed at once: each took a number and changed nothing else.
     world = context.world
     (worker, key), *_ = _members(world, context.job)
-    world.scheduler.book.task(key.task).highest_run = count
+    world.scheduler.book.find_task(key.task).highest_run = count
     worker.end(key, RunEnd.FAILED)
     _rounds(world)
     (worker, key), *_ = _members(world, context.job)
@@ -165,7 +165,7 @@
     world.report(worker)
     worker.ended = []
     key = TaskKey(context.job, 0, 0, 0)
-    task = world.scheduler.book.task(key)
+    task = world.scheduler.book.find_task(key)
     assert RunKey(key, context.second_key.run).run in task.failed_runs
 
 
--- a/features/steps/leader_world.py
+++ b/features/steps/leader_world.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from features.steps.scheduling_world import PretendedWorker
+from features.steps.scheduling_world import SimulatedWorker
 from wagtailcleat.cluster.keys import JOB_PREFIX, LEADER_KEY, encode, record_key
 from wagtailcleat.cluster.leader import Leader
 from wagtailcleat.cluster.leadership import NOBODY, Office
@@ -148,7 +148,7 @@
         self.loop = asyncio.new_event_loop()
         self.store = PretendedStore()
         self.store.put(LEADER_KEY, b"mine")
-        self.workers = [PretendedWorker(f"vm-{n}") for n in range(1, count + 1)]
+        self.workers = [SimulatedWorker(f"vm-{n}") for n in range(1, count + 1)]
         self.streams_opened = 0
         self.reports_made = 0
         self.life_by_node = {}
--- a/features/steps/scheduling_fuzz.py
+++ b/features/steps/scheduling_fuzz.py
@@ -7,8 +7,8 @@
 
 from features.steps.scheduling_world import (
     HORIZON,
-    PretendedWorker,
     SchedulingWorld,
+    SimulatedWorker,
     filling,
     make_job,
     plain,
@@ -58,7 +58,7 @@
 
     def __init__(self) -> None:
         """Begin with idle workers, all in touch."""
-        workers = [PretendedWorker(f"vm-{n}", cores=CORES) for n in range(WORKERS)]
+        workers = [SimulatedWorker(f"vm-{n}", cores=CORES) for n in range(WORKERS)]
         self.world = SchedulingWorld(workers)
         self.nodes = [worker.node for worker in workers]
         self.held: list = []
@@ -233,7 +233,7 @@
         tasks are left out: whether they are let in also changes with time alone.
         """
         scheduler = self.world.scheduler
-        usable = [vm for vm in scheduler.vm_by_node.values() if vm.usable]
+        usable = [vm for vm in scheduler.vm_by_node.values() if vm.is_usable]
         for entry in scheduler.book.entry_by_id.values():
             for step, tasks in entry.tasks_by_step.items():
                 waiting = [t for t in tasks if t.state is TaskState.WAITING]
@@ -241,7 +241,7 @@
                     continue
                 if waiting[0].step.gang or waiting[0].step.fills:
                     continue
-                if not scheduler.book.ready(entry, step):
+                if not scheduler.book.is_ready(entry, step):
                     continue
                 task = waiting[0]
                 vm = choose(usable, task, now=self.world.now, racks=Counter())
@@ -251,7 +251,7 @@
         """Assert that a run of a later step follows the success of the earlier one."""
         entry = book.entry_by_id[key.task.job]
         for earlier in entry.job.steps[key.task.step].after:
-            left = entry.left_by_step[key.task.occurrence, earlier]
+            left = entry.unfinished_by_step[key.task.occurrence, earlier]
             if entry.settled and entry.open:
                 assert left == 0, f"{key} runs before step {earlier} is done"
 
--- a/features/steps/scheduling_steps.py
+++ b/features/steps/scheduling_steps.py
@@ -6,8 +6,8 @@
 from features.steps.scheduling_world import (
     REPORT_SECONDS,
     WALL_START,
-    PretendedWorker,
     SchedulingWorld,
+    SimulatedWorker,
     make_job,
     plain,
     serving,
@@ -21,7 +21,7 @@
 @given("{count:d} VM of {cores:d} cores")
 @given("{count:d} VMs of {cores:d} cores")
 def step_vms(context, count, cores):
-    workers = [PretendedWorker(f"vm-{n}", cores=cores) for n in range(1, count + 1)]
+    workers = [SimulatedWorker(f"vm-{n}", cores=cores) for n in range(1, count + 1)]
     context.world = SchedulingWorld(workers)
 
 
@@ -336,7 +336,7 @@
 
 @when("a second VM of {cores:d} cores comes")
 def step_second_vm(context, cores):
-    context.world.worker_by_node["vm-2"] = PretendedWorker("vm-2", cores=cores)
+    context.world.worker_by_node["vm-2"] = SimulatedWorker("vm-2", cores=cores)
     context.world.round()
     context.world.round()
 
@@ -541,7 +541,7 @@
     sizes = [1 + (number * 7) % 16 for number in range(count)]
     span = sum(sizes) / 8 / times
     waiting = [(WALL_START + span * n / count, size) for n, size in enumerate(sizes)]
-    world = SchedulingWorld([PretendedWorker("vm-1", cores=8)])
+    world = SchedulingWorld([SimulatedWorker("vm-1", cores=8)])
     world.now = 0.0
     done = 0
     left = [(at - WALL_START, size, n) for n, (at, size) in enumerate(waiting)]
@@ -626,7 +626,7 @@
     world.round()
     assert not world.starts, "a start without a ticket"
     question = _question(world)
-    assert {life.id for life in question.workers} == {"i-vm-1", "i-vm-2"}
+    assert {incarnation.id for incarnation in question.workers} == {"i-vm-1", "i-vm-2"}
     until = world.now + seconds
     world.scheduler.advice.take(question, {"i-vm-2": "leave"}, until=until)
 
@@ -639,7 +639,7 @@
 @then("only the second VM is asked about again")
 def step_asked_again(context):
     context.question = _question(context.world)
-    assert [life.id for life in context.question.workers] == ["i-vm-2"]
+    assert [incarnation.id for incarnation in context.question.workers] == ["i-vm-2"]
 
 
 @when("it is granted once more")
--- a/features/steps/scheduling_world.py
+++ b/features/steps/scheduling_world.py
@@ -24,7 +24,7 @@
 
 
 @dataclass
-class PretendedWorker:
+class SimulatedWorker:
     """A worker and its agent; runs what it is told and ends it when asked."""
 
     node: str
@@ -130,7 +130,7 @@
 
     def __init__(
         self,
-        workers: list[PretendedWorker],
+        workers: list[SimulatedWorker],
         *,
         epoch: int = 1,
         start_bytes_per_second: float = math.inf,
@@ -163,7 +163,7 @@
         """Hand in a job."""
         return self.scheduler.book.add(job, now=self.now, wall_now=self.wall_now)
 
-    def report(self, worker: PretendedWorker) -> None:
+    def report(self, worker: SimulatedWorker) -> None:
         """Deliver a worker's report."""
         self._use_cores(worker)
         self.scheduler.take_report(
@@ -173,7 +173,7 @@
         if vm is not None:
             vm.registered = True
 
-    def _use_cores(self, worker: PretendedWorker) -> None:
+    def _use_cores(self, worker: SimulatedWorker) -> None:
         """Let filling runs report the cores that their pace allows them."""
         for key in worker.running:
             entry = self.scheduler.book.entry_by_id.get(key.task.job)
--- a/features/steps/sharing_steps.py
+++ b/features/steps/sharing_steps.py
@@ -10,7 +10,7 @@
     serving,
 )
 from features.steps.sharing_world import SwingingFleet
-from wagtailcleat.scheduling.interference import LEAST_VARIANCE, Estimate
+from wagtailcleat.scheduling.interference import MIN_VARIANCE, Estimate
 
 LEAST_DONE = 200
 """Of 240 tasks; the margin is for the order in which unprofiled images start."""
@@ -148,7 +148,7 @@
 
 def _know(context, image, added):
     learnt = context.world.scheduler.sharing.interference
-    known = Estimate(added, LEAST_VARIANCE)
+    known = Estimate(added, MIN_VARIANCE)
     learnt.added_by_pair["watch", image] = known
 
 
--- a/features/steps/sharing_world.py
+++ b/features/steps/sharing_world.py
@@ -4,8 +4,8 @@
 
 from features.steps.scheduling_world import (
     REPORT_SECONDS,
-    PretendedWorker,
     SchedulingWorld,
+    SimulatedWorker,
     filling,
     make_job,
     serving,
@@ -34,7 +34,7 @@
 
     def __init__(self) -> None:
         """Start the serving tasks, then hand in the burst."""
-        workers = [PretendedWorker(f"vm-{n}", cores=CORES) for n in range(1, VMS + 1)]
+        workers = [SimulatedWorker(f"vm-{n}", cores=CORES) for n in range(1, VMS + 1)]
         self.world = SchedulingWorld(workers)
         self.done = 0
         self.over = 0
@@ -63,7 +63,7 @@
                 self._work(worker)
             self.world.round()
 
-    def _report_figures(self, worker: PretendedWorker, phase: int) -> None:
+    def _report_figures(self, worker: SimulatedWorker, phase: int) -> None:
         turn = 2 * math.pi * (self.world.now / SWING_SECONDS + phase / VMS)
         own = LOAD * (1 + SWING * math.sin(turn))
         for key in worker.running:
@@ -76,7 +76,7 @@
             self.reports += 1
             self.over += load > 1
 
-    def _added(self, worker: PretendedWorker, serving_image: str) -> float:
+    def _added(self, worker: SimulatedWorker, serving_image: str) -> float:
         if serving_image == TOLERANT:
             return 0.0
         share = 0.0
@@ -87,7 +87,7 @@
                 share += step.size.cores * pace / CORES
         return ADDED * share
 
-    def _work(self, worker: PretendedWorker) -> None:
+    def _work(self, worker: SimulatedWorker) -> None:
         for key in list(worker.running):
             if not self._step(key).fills:
                 continue
--- a/features/steps/takeover_world.py
+++ b/features/steps/takeover_world.py
@@ -15,7 +15,7 @@
 
 from features.steps.scheduling_world import (
     WALL_START,
-    PretendedWorker,
+    SimulatedWorker,
     make_job,
     plain,
 )
@@ -420,7 +420,7 @@
     """An agent's tie to the leader, and a worker that keeps to its leases."""
 
     def __init__(
-        self, world: "TakeoverWorld", node: str, host: str, worker: PretendedWorker
+        self, world: "TakeoverWorld", node: str, host: str, worker: SimulatedWorker
     ) -> None:
         """Wire the parts; `worker` may run on from the agent's earlier life."""
         super().__init__(world, node, host)
@@ -510,7 +510,7 @@
                 self,
                 f"agent-{n}",
                 f"agent-host-{n}",
-                PretendedWorker(f"agent-{n}", cores=8.0),
+                SimulatedWorker(f"agent-{n}", cores=8.0),
             )
             for n in range(1, agents + 1)
         ]
--- a/wagtailcleat/scheduling/__init__.py
+++ b/wagtailcleat/scheduling/__init__.py
@@ -1,4 +1,6 @@
-"""Decisions on jobs of several steps: no network, the present time an argument.
+"""The leader's scheduling decisions for jobs of several steps.
 
-`Book` holds the state of all jobs, `place` decides what starts where.
+Pure state without network access; the present time is passed as an argument. The
+leader calls `Scheduler`; `JobTable` holds the state of all jobs, and `PlacementRounds`
+decides which task starts on which VM.
 """
--- a/wagtailcleat/scheduling/advice.py
+++ b/wagtailcleat/scheduling/advice.py
@@ -1,9 +1,10 @@
-"""Which workers may run a step of an advised queue, and the tickets that say so.
+"""Tickets that permit the steps of advised queues to run on certain workers.
 
-Only an outside service knows; it takes longer the more workers it is asked about, and
-answers one call at a time. So a step asks about some workers with room at a time,
-again about those granted when their tickets run out, and never again about one that
-was not granted: that does not change in the life of a worker.
+The leader asks the external advice service and stores its answers here; placement
+reads them. The service answers one call at a time and takes longer the more workers a
+call names, so a question names a limited number of workers with room. Granted workers
+are asked about again when their tickets expire. A denied worker is never asked about
+again, because a denial does not change during a worker's incarnation.
 """
 
 from collections.abc import Iterable
@@ -11,101 +12,103 @@
 from typing import NamedTuple
 
 from wagtailcleat.ids import JobId
-from wagtailcleat.scheduling.book import Book, JobEntry, StepKey
-from wagtailcleat.scheduling.order import rank
-from wagtailcleat.scheduling.placement import fits, labelled
+from wagtailcleat.scheduling.book import JobEntry, JobTable, StepKey
+from wagtailcleat.scheduling.placement import fits, has_required_label
+from wagtailcleat.scheduling.ranking import rank
 from wagtailcleat.scheduling.vms import Vm
 
-ASKED_AT_ONCE = 30
-"""Workers named in one call: on so many a step's objective counts (the users' rule)."""
-DELIVERY_SECONDS = 0.3
-"""How much longer than its way to the worker a ticket must hold to be used."""
+MAX_WORKERS_PER_QUESTION = 30
+"""By the users' rule, a step's objective is counted on this many workers."""
+TICKET_MARGIN_SECONDS = 0.3
+"""Least remaining validity of a ticket that is sent; it must outlast the delivery."""
 
 
 class Ticket(NamedTuple):
-    """Leave to run a step on a worker until a time on the leader's clock."""
+    """Permission to run a step on a worker until a time on the leader's clock."""
 
     text: str
     until: float
 
 
-class WorkerLife(NamedTuple):
-    """One life of a worker."""
+class WorkerIncarnation(NamedTuple):
+    """One incarnation of a worker: its id and start time."""
 
     id: str
     born: int
 
 
 class Question(NamedTuple):
-    """What the service is to be asked."""
+    """A question to the advice service: which of these workers may run a step."""
 
     job: JobId
     step: StepKey
-    workers: tuple[WorkerLife, ...]
+    workers: tuple[WorkerIncarnation, ...]
 
 
 @dataclass
 class _StepAdvice:
-    ticket_by_worker: dict[WorkerLife, Ticket] = field(default_factory=dict)
-    denied: set[WorkerLife] = field(default_factory=set)
+    ticket_by_worker: dict[WorkerIncarnation, Ticket] = field(default_factory=dict)
+    denied: set[WorkerIncarnation] = field(default_factory=set)
 
 
 @dataclass
 class Advice:
-    """All tickets that are held, by step."""
+    """The advice service's answers, by job and step."""
 
     _advice_by_step: dict[tuple[JobId, StepKey], _StepAdvice] = field(
         default_factory=dict
     )
 
     def ticket(self, job: JobId, step: StepKey, vm: Vm, now: float) -> str:
-        """Return the ticket for a step on a VM; empty where none holds."""
+        """Return the ticket for a step on a VM; empty if there is no valid one."""
         known = self._advice_by_step.get((job, step))
-        life = life_of(vm)
-        if known is None or life is None:
+        incarnation = incarnation_of(vm)
+        if known is None or incarnation is None:
             return ""
-        ticket = known.ticket_by_worker.get(life)
-        if ticket is None or ticket.until < now + DELIVERY_SECONDS:
+        ticket = known.ticket_by_worker.get(incarnation)
+        if ticket is None or ticket.until < now + TICKET_MARGIN_SECONDS:
             return ""
         return ticket.text
 
     def question(
-        self, book: Book, vms: Iterable[Vm], *, now: float, wall_now: float
+        self, book: JobTable, vms: Iterable[Vm], *, now: float, wall_now: float
     ) -> Question | None:
-        """Return what to ask next, for the waiting step that goes first."""
+        """Return the next question, for the highest-ranked step that needs one."""
         waiting = [
             (rank(entry, step, wall_now), entry, step)
             for entry in book.open_by_id.values()
             if entry.job.advised and entry.settled
             for step, count in entry.waiting_by_step.items()
-            if count and book.ready(entry, step)
+            if count and book.is_ready(entry, step)
         ]
         waiting.sort(key=lambda row: row[0])
-        usable = [vm for vm in vms if vm.usable]
+        usable = [vm for vm in vms if vm.is_usable]
         for _, entry, step in waiting:
-            workers = self._worth_asking(entry, step, usable, now)
+            workers = self._workers_to_ask(entry, step, usable, now)
             if workers:
-                return Question(entry.job.id, step, tuple(workers[:ASKED_AT_ONCE]))
+                return Question(
+                    entry.job.id, step, tuple(workers[:MAX_WORKERS_PER_QUESTION])
+                )
         return None
 
-    def _worth_asking(
+    def _workers_to_ask(
         self, entry: JobEntry, step: StepKey, vms: list[Vm], now: float
-    ) -> list[WorkerLife]:
+    ) -> list[WorkerIncarnation]:
         wanted = entry.job.steps[step[1]]
         known = self._advice_by_step.get((entry.job.id, step), _StepAdvice())
-        asked: list[WorkerLife] = []
+        asked: list[WorkerIncarnation] = []
         for vm in sorted(vms, key=lambda vm: -vm.spare_cores):
-            life = life_of(vm)
-            if life is None or life in known.denied:
+            incarnation = incarnation_of(vm)
+            if incarnation is None or incarnation in known.denied:
                 continue
-            if vm.service != entry.job.service or not labelled(vm, wanted):
+            if vm.service != entry.job.service or not has_required_label(vm, wanted):
                 continue
             if not fits(vm, wanted):
                 continue
             if self.ticket(entry.job.id, step, vm, now):
-                # Room and leave: the step starts there without another question.
+                # The step can start on this VM without another question.
                 return []
-            asked.append(life)
+            asked.append(incarnation)
         return asked
 
     def take(
@@ -115,31 +118,35 @@
         *,
         until: float,
     ) -> None:
-        """Take in an answer; workers asked about and not granted are denied."""
+        """Record the answer to a question; workers that it does not grant are denied.
+
+        Parameters: `ticket_by_worker` holds the granted workers' tickets by worker id;
+        they are valid until `until`, in seconds on the leader's clock.
+        """
         known = self._advice_by_step.setdefault(
             (question.job, question.step), _StepAdvice()
         )
-        for life in question.workers:
-            text = ticket_by_worker.get(life.id)
+        for incarnation in question.workers:
+            text = ticket_by_worker.get(incarnation.id)
             if text is None:
-                known.denied.add(life)
+                known.denied.add(incarnation)
             else:
-                known.ticket_by_worker[life] = Ticket(text, until)
+                known.ticket_by_worker[incarnation] = Ticket(text, until)
 
     def withdraw(self, job: JobId, step: StepKey, vm: Vm) -> None:
-        """Drop a ticket that a worker did not take, so that it is asked for anew."""
+        """Drop a ticket that a worker rejected, so that a new one is requested."""
         known = self._advice_by_step.get((job, step))
-        life = life_of(vm)
-        if known is not None and life is not None:
-            known.ticket_by_worker.pop(life, None)
+        incarnation = incarnation_of(vm)
+        if known is not None and incarnation is not None:
+            known.ticket_by_worker.pop(incarnation, None)
 
-    def forget_ended(self, book: Book) -> None:
-        """Drop what is known of jobs that have ended."""
+    def forget_ended(self, book: JobTable) -> None:
+        """Drop the answers for jobs that have ended."""
         ended = [key for key in self._advice_by_step if key[0] not in book.open_by_id]
         for key in ended:
             del self._advice_by_step[key]
 
 
-def life_of(vm: Vm) -> WorkerLife | None:
-    """Return the life of a VM's worker, if it has one."""
-    return WorkerLife(vm.worker.id, vm.worker.born) if vm.worker else None
+def incarnation_of(vm: Vm) -> WorkerIncarnation | None:
+    """Return the incarnation of a VM's worker, or None without a worker."""
+    return WorkerIncarnation(vm.worker.id, vm.worker.born) if vm.worker else None
--- a/wagtailcleat/scheduling/dispatch.py
+++ b/wagtailcleat/scheduling/dispatch.py
@@ -1,107 +1,121 @@
-"""What leaves for the agents: orders, within what the leader's link bears."""
+"""Orders to the agents, rate-limited to the capacity of the leader's link.
+
+The `Scheduler` adds orders and takes out those that can be sent now.
+"""
 
 from collections.abc import Callable, Mapping
 
 from wagtailcleat.ids import Epoch, NodeId
 from wagtailcleat.scheduling.models import RunKey, Start
-from wagtailcleat.scheduling.outgoing import Acknowledging, Outgoing, StartBudget
+from wagtailcleat.scheduling.pending_orders import (
+    EndTracker,
+    PendingOrders,
+    StartBudget,
+)
 from wagtailcleat.scheduling.vms import Vm
 from wagtailcleat.wire.scheduling import Orders
 
 Withdraw = Callable[[Vm, RunKey], None]
-"""Frees the room and the task of a run whose start was not sent."""
+"""Called to free the room and requeue the task of a run whose start was not sent."""
 
 
 class Dispatch:
-    """Orders that wait for their agents, and the ends that these may forget."""
+    """Pending orders by agent, and acknowledgements of the ends that are stored."""
 
     def __init__(self, epoch: Epoch, start_bytes_per_second: float) -> None:
-        """Send as the leader of `epoch`; see `StartBudget` for the bytes of starts."""
+        """Create orders of the leader of `epoch`.
+
+        Parameters: `start_bytes_per_second` is the rate limit of the `StartBudget`.
+        """
         self.holds_starts = False
-        """Whether starts wait for the link to bear them."""
+        """Whether the rate limit holds back some starts."""
         self._epoch = epoch
-        self._acks_by_node: dict[NodeId, Acknowledging] = {}
-        self._outgoing_by_node: dict[NodeId, Outgoing] = {}
+        self._tracker_by_node: dict[NodeId, EndTracker] = {}
+        self._pending_by_node: dict[NodeId, PendingOrders] = {}
         self._start_budget = StartBudget(start_bytes_per_second)
 
     def __repr__(self) -> str:
-        """Show for how many agents orders wait."""
-        return f"<Dispatch to {len(self._outgoing_by_node)} agents>"
+        """Show the number of agents with pending orders."""
+        return f"<Dispatch to {len(self._pending_by_node)} agents>"
 
-    def outgoing(self, node: NodeId) -> Outgoing:
-        """Return what an agent is still to be told."""
-        return self._outgoing_by_node.setdefault(node, Outgoing())
+    def pending(self, node: NodeId) -> PendingOrders:
+        """Return the pending orders of an agent."""
+        return self._pending_by_node.setdefault(node, PendingOrders())
 
-    def acknowledging(self, node: NodeId, born: int) -> Acknowledging:
-        """Return the ends of a worker's life; a new life begins with none."""
-        ends = self._acks_by_node.get(node)
-        if ends is None or ends.born != born:
-            ends = self._acks_by_node[node] = Acknowledging(born)
-        return ends
+    def end_tracker(self, node: NodeId, born: int) -> EndTracker:
+        """Return the ends of a worker's incarnation; a new one starts without ends.
+
+        Parameters: `born` identifies the incarnation, see `WorkerInfo`.
+        """
+        tracker = self._tracker_by_node.get(node)
+        if tracker is None or tracker.born != born:
+            tracker = self._tracker_by_node[node] = EndTracker(born)
+        return tracker
 
     def orders(
         self, vm_by_node: Mapping[NodeId, Vm], withdraw: Withdraw, *, now: float
     ) -> list[tuple[Vm, Orders]]:
-        """Return what each agent in touch is to be told now, and count it as sent.
+        """Return the orders to send now to connected agents, and mark them as sent.
 
-        Parameters: `withdraw` is called for each start that is not wanted any more.
+        Parameters: `withdraw` is called for each start whose run is to stop already.
         """
-        self._acknowledge()
-        self._start_budget.fill(now)
+        self._advance_durable()
+        self._start_budget.refill(now)
         self.holds_starts = False
         sent = []
-        for node, outgoing in list(self._outgoing_by_node.items()):
+        for node, pending in list(self._pending_by_node.items()):
             vm = vm_by_node.get(node)
             if vm is None or vm.worker is None:
-                del self._outgoing_by_node[node]
+                del self._pending_by_node[node]
                 continue
-            if not outgoing or not vm.present:
+            if not pending or not vm.present:
                 continue
-            self._hold_starts(node, outgoing)
-            if not outgoing:
+            self._take_orders(node, pending)
+            if not pending:
                 continue
             vm.orders_sent += 1
             orders = Orders(
                 self._epoch,
                 vm.orders_sent,
                 vm.worker.born,
-                _still_wanted(vm, outgoing.starts, withdraw),
-                outgoing.stops,
-                outgoing.paces,
-                self._acknowledged(vm.node, vm.worker.born),
+                _mark_sent(vm, pending.starts, withdraw),
+                pending.stops,
+                pending.paces,
+                self._durable_number(vm.node, vm.worker.born),
             )
             sent.append((vm, orders))
         return sent
 
-    def _hold_starts(self, node: NodeId, outgoing: Outgoing) -> None:
-        """Take an agent's orders out, but the starts that the link does not bear."""
-        del self._outgoing_by_node[node]
-        count = self._start_budget.spend(outgoing.starts)
-        if count < len(outgoing.starts):
-            self._outgoing_by_node[node] = Outgoing(starts=outgoing.starts[count:])
-            outgoing.starts = outgoing.starts[:count]
+    def _take_orders(self, node: NodeId, pending: PendingOrders) -> None:
+        """Remove an agent's pending orders, except starts beyond the rate limit."""
+        del self._pending_by_node[node]
+        count = self._start_budget.spend(pending.starts)
+        if count < len(pending.starts):
+            self._pending_by_node[node] = PendingOrders(starts=pending.starts[count:])
+            pending.starts = pending.starts[:count]
             self.holds_starts = True
 
-    def _acknowledged(self, node: NodeId, born: int) -> int:
-        """Return up to which number ends of a worker's life are durable."""
-        ends = self._acks_by_node.get(node)
-        # The numbers of its next life begin anew, before its ends are first listed.
-        return ends.durable if ends is not None and ends.born == born else 0
-
-    def _acknowledge(self) -> None:
-        for node, ends in self._acks_by_node.items():
-            before = ends.durable
-            while ends.waiting:
-                number, entry, version = ends.waiting[0]
+    def _durable_number(self, node: NodeId, born: int) -> int:
+        """Return the number up to which a worker incarnation's ends are stored."""
+        tracker = self._tracker_by_node.get(node)
+        # A new incarnation numbers its ends from 1, and is known before its first list:
+        # the numbers of the previous one must not acknowledge them.
+        return tracker.durable if tracker is not None and tracker.born == born else 0
+
+    def _advance_durable(self) -> None:
+        for node, tracker in self._tracker_by_node.items():
+            before = tracker.durable
+            while tracker.unstored:
+                number, entry, version = tracker.unstored[0]
                 if entry is not None and entry.committed < version:
                     break
-                ends.waiting.popleft()
-                ends.durable = number
-            if ends.durable > before:
-                self.outgoing(node).acknowledged = ends.durable
+                tracker.unstored.popleft()
+                tracker.durable = number
+            if tracker.durable > before:
+                self.pending(node).acknowledged = tracker.durable
 
 
-def _still_wanted(vm: Vm, starts: list[Start], withdraw: Withdraw) -> list[Start]:
+def _mark_sent(vm: Vm, starts: list[Start], withdraw: Withdraw) -> list[Start]:
     wanted = []
     for start in starts:
         hosted = vm.hosted_by_run.get(start.key)
@@ -111,7 +125,7 @@
             withdraw(vm, start.key)
             continue
         hosted.sent = True
-        hosted.order = vm.orders_sent
+        hosted.order_number = vm.orders_sent
         hosted.session = vm.session
         wanted.append(start)
     return wanted
--- a/wagtailcleat/scheduling/notes.py
+++ b/wagtailcleat/scheduling/events.py
@@ -1,4 +1,4 @@
-"""What the scheduler came to believe or decided, for the log."""
+"""Events of runs that the scheduler observes or decides, for the leader's log."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -8,7 +8,7 @@
 
 
 class Event(Enum):
-    """What the scheduler came to believe or decided; each is one log line."""
+    """Kind of an event; the value is the text of its log line."""
 
     ENDED = "Run ended"
     KNOWN = "Failure was known"
@@ -20,8 +20,8 @@
 
 
 @dataclass(frozen=True)
-class Note:
-    """An event with what decided it."""
+class LoggedEvent:
+    """An event of a run on a node, with its reason in `why`."""
 
     event: Event
     run: RunKey
--- a/wagtailcleat/scheduling/interference.py
+++ b/wagtailcleat/scheduling/interference.py
@@ -1,12 +1,12 @@
-"""What tasks that fill add to the load of tasks that serve, learnt from reports.
-
-A serving task reports the tail latency of its users. Its load is that latency as a
-share of its target, and grows without limit as its processors become busy, like the
-waiting time of a queue. What is learnt is therefore its utilization,
-`1 - idle / load`, in which `idle` is the load of a task without users. Utilization is
-a sum: what the tasks of one serving job have by themselves, which swings in time alike
-wherever they run, and what each filling image adds beside that serving image, in
-proportion to the cores that it uses.
+"""A model of how filling tasks slow serving tasks, learned from reports.
+
+`Sharing` updates it with each report and asks it for estimates. A serving task reports
+its tail latency. Its load is that latency as a share of its target, and grows without
+limit as its processors become busy, like the waiting time of a queue. The model
+therefore uses the utilization `1 - idle / load`, where `idle` is the load of a task
+without requests. The utilization is a sum of two parts: that of the serving job's tasks
+by themselves, which varies over time equally wherever they run, and what each filling
+image adds to that serving image, in proportion to the cores that it uses.
 """
 
 import math
@@ -17,48 +17,55 @@
 
 from wagtailcleat.ids import JobId
 
-FIRST_IDLE = 0.22
-"""Load of a serving task without users, before any was reported."""
-IDLE_BOUNDS = (0.02, 0.5)
-QUIET_SHARE = 0.8
-"""Idle load as a share of the least that was reported."""
+INITIAL_IDLE_LOAD = 0.22
+"""Idle load of a serving image before its first report."""
+IDLE_LOAD_BOUNDS = (0.02, 0.5)
+"""Least and greatest idle load."""
+IDLE_SHARE_OF_MIN_LOAD = 0.8
+"""Idle load as a share of the least load that was reported."""
 MAX_UTILIZATION = 0.98
-SATURATED = 0.9
-"""Utilization from which a report says little: latencies of overload are arbitrary."""
-FIRST_OWN = 0.42
-"""Utilization of a serving task by itself, before any was reported."""
-MAX_BASE = 0.65
-"""Bound: a VM that is slow by itself must not spoil what is known of an image."""
+SATURATED_UTILIZATION = 0.9
+"""Utilization from which a report says little: overload latencies are arbitrary."""
+INITIAL_OWN_UTILIZATION = 0.42
+"""Utilization of a serving task by itself, before the first report."""
+MAX_BASE_UTILIZATION = 0.65
+"""Upper limit: one slow VM must not distort what is known of an image."""
 BASE_WEIGHT = 0.02
-"""Weight of one report in an image's mean utilization."""
-FIRST_LEVEL_VARIANCE = 0.03
-FIRST_SLOPE_VARIANCE = 0.02
+"""Weight of one report in an image's mean utilization by itself."""
+INITIAL_LEVEL_VARIANCE = 0.03
+INITIAL_SLOPE_VARIANCE = 0.02
 """Per second squared."""
-FORGET_SECONDS = 30.0
-"""How long the load of a serving job that reports nothing is kept."""
-SLOPE_SECONDS = 3.0
-"""Time constant with which a swing in load is taken to end."""
-SLOPE_NOISE = 0.015
-"""Variance that the slope gains in a second."""
-LEAST_NOISE = 0.002
-"""Variance of a report's utilization: tail latencies are whole milliseconds."""
-MOST_NOISE = 0.1
+OWN_RETENTION_SECONDS = 30.0
+"""How long the utilization of a serving job is kept without reports."""
+SLOPE_DECAY_SECONDS = 3.0
+"""Time constant with which the slope of the utilization decays."""
+SLOPE_NOISE_PER_SECOND = 0.015
+"""Variance that is added to the slope per second."""
+MIN_NOISE = 0.002
+"""Least variance of a reported utilization: latencies are whole milliseconds."""
+MAX_NOISE = 0.1
+"""Greatest variance of a reported utilization."""
 NOISE_WEIGHT = 0.03
-"""Weight of one report in the noise of a serving job's reports."""
-OUTLIER = 3.0
-"""Standard deviations to which an error is cut: one slow VM must not teach much."""
-FIRST_ADDED = 0.5
-"""Utilization that an unknown filling image adds on a VM full of it."""
-FIRST_VARIANCE = 1.0
-LEAST_VARIANCE = 0.02
-"""Keeps estimates open to change: what an image adds may differ within seconds."""
-RESTORED_VARIANCE = 0.1
-"""Least variance of what an earlier leader learnt: it may have changed since."""
-KNOWN_VARIANCE = 0.3
-"""Below this a pair of images counts as known."""
+"""Weight of one report in the noise variance of a serving job's reports."""
+MAX_ERROR_DEVIATIONS = 3.0
+"""Standard deviations to which an error is limited.
+
+One slow VM must not change the estimates much.
+"""
+INITIAL_ADDED = 0.5
+"""Utilization that an unknown filling image is assumed to add on a VM full of it."""
+INITIAL_VARIANCE = 1.0
+"""Variance of that assumption."""
+MIN_VARIANCE = 0.02
+"""Keeps estimates adaptable: what an image adds may change within seconds."""
+MIN_RESTORED_VARIANCE = 0.1
+"""Least variance of an earlier leader's estimate: it may have changed since."""
+MAX_KNOWN_VARIANCE = 0.3
+"""Variance up to which the estimate of a pair of images counts as known."""
 MAX_ADDED = 6.0
-LEAST_SHARE = 0.003
-"""Share of a VM's cores below which a filling image teaches nothing."""
+"""Greatest utilization that a filling image can add on a VM full of it."""
+MIN_SHARE = 0.003
+"""Share of a VM's cores below which nothing is learned about a filling image."""
 
 ImagePair = tuple[str, str]
 """A serving image and a filling image."""
@@ -66,86 +73,95 @@
 
 @dataclass
 class Estimate:
-    """A value learnt from reports, and its variance."""
+    """A value estimated from reports, and its variance."""
 
     mean: float
     variance: float
 
     @property
-    def known(self) -> bool:
-        """Whether reports have told it."""
-        return self.variance <= KNOWN_VARIANCE
+    def is_known(self) -> bool:
+        """Whether reports have made the estimate reliable."""
+        return self.variance <= MAX_KNOWN_VARIANCE
 
     @property
-    def cautious(self) -> float:
-        """The mean, and half a deviation more until it is known as well as can be."""
-        return self.mean + 0.5 * math.sqrt(max(0.0, self.variance - LEAST_VARIANCE))
+    def conservative(self) -> float:
+        """The mean plus half the standard deviation in excess of the least variance."""
+        return self.mean + 0.5 * math.sqrt(max(0.0, self.variance - MIN_VARIANCE))
 
 
-UNKNOWN = Estimate(FIRST_ADDED, FIRST_VARIANCE)
+UNKNOWN = Estimate(INITIAL_ADDED, INITIAL_VARIANCE)
 
 
 @dataclass
-class OwnLoad:
-    """Utilization of a serving job's tasks by themselves: a level and its slope.
+class OwnUtilization:
+    """Utilization of a serving job's tasks by themselves.
 
-    A Kalman filter with a slope that decays; `covariance` holds the variance of the
-    level, the covariance, and the variance of the slope.
+    A Kalman filter with a level and a decaying slope; `covariance` holds the variance
+    of the level, the covariance, and the variance of the slope.
     """
 
     level: float
-    at: float
-    """Seconds at which the level held."""
+    updated_at: float
+    """Time to which the level applies, in seconds."""
     slope: float = 0.0
     """Per second."""
     covariance: tuple[float, float, float] = (
-        FIRST_LEVEL_VARIANCE,
+        INITIAL_LEVEL_VARIANCE,
         0.0,
-        FIRST_SLOPE_VARIANCE,
+        INITIAL_SLOPE_VARIANCE,
     )
-    noise: float = LEAST_NOISE
-    """Variance of the reports, as observed."""
+    noise: float = MIN_NOISE
+    """Observed variance of the reports."""
 
     def expected(self, now: float) -> float:
-        """Return the level to expect at a time after the last report."""
-        return self.level + _slope_seconds(now - self.at) * self.slope
+        """Return the predicted level at `now`."""
+        return self.level + _effective_slope_seconds(now - self.updated_at) * self.slope
 
     def advance(self, now: float) -> None:
-        """Move on to the present."""
-        seconds = now - self.at
+        """Advance the filter to `now`: its prediction step."""
+        seconds = now - self.updated_at
         if seconds <= 0:
             return
-        lasting = math.exp(-seconds / SLOPE_SECONDS)
-        lever = _slope_seconds(seconds)
-        level, both, slope = self.covariance
-        self.level += lever * self.slope
-        self.slope *= lasting
-        self.at = now
+        decay = math.exp(-seconds / SLOPE_DECAY_SECONDS)
+        effective = _effective_slope_seconds(seconds)
+        level, cross, slope = self.covariance
+        self.level += effective * self.slope
+        self.slope *= decay
+        self.updated_at = now
         self.covariance = (
-            level + 2 * lever * both + lever**2 * slope + SLOPE_NOISE * seconds**3 / 3,
-            lasting * (both + lever * slope) + SLOPE_NOISE * seconds**2 / 2,
-            lasting**2 * slope + SLOPE_NOISE * seconds,
+            level
+            + 2 * effective * cross
+            + effective**2 * slope
+            + SLOPE_NOISE_PER_SECOND * seconds**3 / 3,
+            decay * (cross + effective * slope)
+            + SLOPE_NOISE_PER_SECOND * seconds**2 / 2,
+            decay**2 * slope + SLOPE_NOISE_PER_SECOND * seconds,
         )
 
     def correct(self, error: float, variance: float) -> None:
-        """Take in a prediction's error, whose variance is given."""
-        level, both, slope = self.covariance
-        level_gain, slope_gain = level / variance, both / variance
+        """Correct the filter by a prediction error and the variance of that error."""
+        level, cross, slope = self.covariance
+        level_gain, slope_gain = level / variance, cross / variance
         self.level = min(MAX_UTILIZATION, max(0.0, self.level + level_gain * error))
         self.slope += slope_gain * error
         self.covariance = (
             level * (1 - level_gain),
-            both * (1 - level_gain),
-            slope - slope_gain * both,
+            cross * (1 - level_gain),
+            slope - slope_gain * cross,
         )
 
 
-def _slope_seconds(seconds: float) -> float:
-    return SLOPE_SECONDS * (1 - math.exp(-max(0.0, seconds) / SLOPE_SECONDS))
+def _effective_slope_seconds(seconds: float) -> float:
+    return SLOPE_DECAY_SECONDS * (
+        1 - math.exp(-max(0.0, seconds) / SLOPE_DECAY_SECONDS)
+    )
 
 
 class Learnt(msgspec.Struct, frozen=True, array_like=True):
-    """What outlasts a leader; the loads of serving jobs are told anew in seconds."""
+    """The part of the model that is stored for the next leader.
+
+    The utilization of serving jobs is not stored: reports restore it within seconds.
+    """
 
     added: list[tuple[str, str, float, float]] = []
     """Rows of serving image, filling image, mean and variance."""
@@ -155,7 +171,7 @@
 
 @dataclass(frozen=True)
 class Reading:
-    """Load of a serving job's tasks on one VM, as reported at a time."""
+    """Reported load of a serving job's tasks on one VM."""
 
     job: JobId
     image: str
@@ -164,93 +180,103 @@
     share_by_image: Mapping[str, float]
     """Share of the VM's cores that each filling image uses beside them."""
     at: float
+    """Time of the report, in seconds."""
 
 
 @dataclass
 class Interference:
-    """All that was learnt, by serving job, image and pair of images."""
+    """The estimates by serving job, image and pair of images."""
 
     added_by_pair: dict[ImagePair, Estimate] = field(default_factory=dict)
-    own_by_job: dict[JobId, OwnLoad] = field(default_factory=dict)
+    """Utilization that a VM full of a filling image adds to a serving image."""
+    own_by_job: dict[JobId, OwnUtilization] = field(default_factory=dict)
     base_by_image: dict[str, float] = field(default_factory=dict)
     """Mean utilization of each serving image by itself."""
     idle_by_image: dict[str, float] = field(default_factory=dict)
 
     def idle(self, image: str) -> float:
-        """Return the load of a serving image without users."""
-        return self.idle_by_image.get(image, FIRST_IDLE)
+        """Return the load of a serving image without requests."""
+        return self.idle_by_image.get(image, INITIAL_IDLE_LOAD)
 
     def utilization(self, image: str, load: float) -> float:
-        """Return the utilization of a serving image at a load."""
+        """Return the utilization of a serving image that corresponds to a load."""
         if load <= 0:
             return 0.0
         return min(MAX_UTILIZATION, max(0.0, 1 - self.idle(image) / load))
 
     def base(self, image: str) -> float:
         """Return the mean utilization of a serving image by itself."""
-        return self.base_by_image.get(image, FIRST_OWN)
+        return self.base_by_image.get(image, INITIAL_OWN_UTILIZATION)
 
-    def own(self, job: JobId, image: str, now: float) -> float:
-        """Return the utilization to expect of a serving job's tasks by themselves."""
+    def expected_own(self, job: JobId, image: str, now: float) -> float:
+        """Return the expected utilization of a serving job's tasks by themselves."""
         known = self.own_by_job.get(job)
         return known.expected(now) if known else self.base(image)
 
-    def added(self, serving: str, filling: str) -> Estimate:
+    def estimate(self, serving: str, filling: str) -> Estimate:
         """Return what a VM full of a filling image adds to a serving image."""
         return self.added_by_pair.get((serving, filling), UNKNOWN)
 
-    def adds(self, serving: str, share_by_image: Mapping[str, float]) -> float:
-        """Return what filling images with given shares of a VM's cores add."""
+    def total_added(self, serving: str, share_by_image: Mapping[str, float]) -> float:
+        """Return the utilization that filling images with these shares of a VM add."""
         return sum(
-            self.added(serving, filling).mean * share
+            self.estimate(serving, filling).mean * share
             for filling, share in share_by_image.items()
         )
 
     def learn(self, reading: Reading) -> float:
-        """Take in a reading; return by how much it exceeds what was expected."""
+        """Update the model with a reading; return its excess over the prediction."""
         image = reading.image
         self._learn_idle(image, reading.load)
-        seen = self.utilization(image, reading.load)
+        observed = self.utilization(image, reading.load)
         own = self.own_by_job.get(reading.job)
         if own is None:
-            own = OwnLoad(self.base(image), reading.at)
+            own = OwnUtilization(self.base(image), reading.at)
             self.own_by_job[reading.job] = own
         own.advance(reading.at)
-        parts = [
+        estimates = [
             (self._estimate(image, filling), share)
             for filling, share in reading.share_by_image.items()
-            if share >= LEAST_SHARE
+            if share >= MIN_SHARE
         ]
-        error = seen - own.level - sum(part.mean * share for part, share in parts)
-        if seen >= SATURATED and (not parts or error < 0):
+        error = (
+            observed
+            - own.level
+            - sum(estimate.mean * share for estimate, share in estimates)
+        )
+        if observed >= SATURATED_UTILIZATION and (not estimates or error < 0):
             return error
-        unsure = own.covariance[0] + sum(
-            part.variance * share**2 for part, share in parts
+        prediction_variance = own.covariance[0] + sum(
+            estimate.variance * share**2 for estimate, share in estimates
+        )
+        variance = prediction_variance + own.noise
+        observed_noise = min(MAX_NOISE, max(MIN_NOISE, error**2 - prediction_variance))
+        own.noise += NOISE_WEIGHT * (observed_noise - own.noise)
+        error = math.copysign(
+            min(abs(error), MAX_ERROR_DEVIATIONS * math.sqrt(variance)), error
         )
-        variance = unsure + own.noise
-        observed = min(MOST_NOISE, max(LEAST_NOISE, error**2 - unsure))
-        own.noise += NOISE_WEIGHT * (observed - own.noise)
-        error = math.copysign(min(abs(error), OUTLIER * math.sqrt(variance)), error)
         own.correct(error, variance)
-        for part, share in parts:
-            gain = part.variance * share / variance
-            part.mean = min(MAX_ADDED, max(0.0, part.mean + gain * error))
-            part.variance = max(LEAST_VARIANCE, part.variance * (1 - gain * share))
+        for estimate, share in estimates:
+            gain = estimate.variance * share / variance
+            estimate.mean = min(MAX_ADDED, max(0.0, estimate.mean + gain * error))
+            estimate.variance = max(
+                MIN_VARIANCE, estimate.variance * (1 - gain * share)
+            )
         base = self.base(image) + BASE_WEIGHT * (own.level - self.base(image))
-        self.base_by_image[image] = min(MAX_BASE, base)
+        self.base_by_image[image] = min(MAX_BASE_UTILIZATION, base)
         return error
 
     def forget_unreported(self, now: float) -> None:
-        """Drop what is kept of serving jobs that have not reported for long."""
+        """Drop the utilization of serving jobs without recent reports."""
         for job, own in list(self.own_by_job.items()):
-            if now - own.at > FORGET_SECONDS:
+            if now - own.updated_at > OWN_RETENTION_SECONDS:
                 del self.own_by_job[job]
 
     def learnt(self) -> Learnt:
-        """Return what the next leader should know."""
+        """Return the part of the model to store for the next leader."""
         added = [
-            (serving, filling, round(part.mean, 3), round(part.variance, 3))
-            for (serving, filling), part in self.added_by_pair.items()
+            (serving, filling, round(estimate.mean, 3), round(estimate.variance, 3))
+            for (serving, filling), estimate in self.added_by_pair.items()
         ]
         images = [
             (image, round(self.idle(image), 4), round(base, 3))
@@ -259,9 +285,9 @@
         return Learnt(added, images)
 
     def restore(self, learnt: Learnt) -> None:
-        """Take over what an earlier leader learnt, where nothing is known yet."""
+        """Adopt an earlier leader's estimates where they are more certain."""
         for serving, filling, mean, variance in learnt.added:
-            variance = max(variance, RESTORED_VARIANCE)
+            variance = max(variance, MIN_RESTORED_VARIANCE)
             known = self.added_by_pair.get((serving, filling), UNKNOWN)
             if variance < known.variance:
                 self.added_by_pair[serving, filling] = Estimate(mean, variance)
@@ -271,10 +297,10 @@
 
     def _estimate(self, serving: str, filling: str) -> Estimate:
         return self.added_by_pair.setdefault(
-            (serving, filling), Estimate(FIRST_ADDED, FIRST_VARIANCE)
+            (serving, filling), Estimate(INITIAL_ADDED, INITIAL_VARIANCE)
         )
 
     def _learn_idle(self, image: str, load: float) -> None:
-        least, most = IDLE_BOUNDS
-        seen = min(most, max(least, load * QUIET_SHARE))
-        self.idle_by_image[image] = min(self.idle(image), seen)
+        least, most = IDLE_LOAD_BOUNDS
+        observed = min(most, max(least, load * IDLE_SHARE_OF_MIN_LOAD))
+        self.idle_by_image[image] = min(self.idle(image), observed)
--- a/wagtailcleat/scheduling/models.py
+++ b/wagtailcleat/scheduling/models.py
@@ -1,4 +1,7 @@
-"""Jobs of several steps, their tasks and runs, and the VMs that run them."""
+"""Jobs of several steps, their tasks and runs, and the workers that run them.
+
+Most of these types are stored or sent between the leader, agents and workers.
+"""
 
 from enum import Enum
 from typing import NamedTuple
@@ -10,7 +13,7 @@
 
 
 class TaskKey(NamedTuple):
-    """One task: the `position`-th of a step, of one occurrence of a job."""
+    """Identifies a task: its position in a step of one occurrence of a job."""
 
     job: JobId
     occurrence: int
@@ -19,78 +22,80 @@
 
 
 class RunKey(NamedTuple):
-    """One run of a task; `run` rises with each start of the task."""
+    """Identifies a run of a task; `run` increases with each start of the task."""
 
     task: TaskKey
     run: int
 
     def __str__(self) -> str:
-        """Return the run's name in logs."""
+        """Return the text of the key in logs."""
         task = self.task
         return f"{task.job}/{task.occurrence}/{task.step}/{task.position}#{self.run}"
 
 
 class Step(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Tasks of a job that are alike."""
+    """A group of identical tasks of a job."""
 
     count: int
     size: Resources
     estimate_seconds: float = 1.0
-    """What the submitter believes a task takes; may be far off."""
+    """Duration of a task as the submitter estimates it; may be far off."""
     after: tuple[int, ...] = ()
     """Steps whose tasks must all have succeeded first."""
     checkpointable: bool = False
     gang: bool = False
-    """Whether the tasks work only while all of them are present."""
+    """Whether the tasks can only run all at once."""
     same_rack: bool = False
-    """Whether the tasks are slowed where they run on several racks."""
+    """Whether the tasks slow down if they run on several racks."""
     required_label: str = ""
     affinity_rack: str = ""
-    """The rack that holds the data; elsewhere a task is slowed."""
+    """The rack that holds the data; a task runs more slowly on any other."""
     max_per_vm: int = 0
-    """At most this many tasks of an occurrence on one VM; 0: any number."""
+    """Most tasks of one occurrence on one VM; 0: no limit."""
     speculative: bool = False
     """Whether copies of a task may run at the same time."""
     long_running: bool = False
-    """Whether tasks run until the job is cancelled, however often they end."""
+    """Whether tasks are restarted whenever they end, until the job is cancelled."""
     image: str = ""
-    """What the tasks run; tasks of one image behave alike."""
+    """The program of the tasks; tasks of one image interfere alike."""
     target_seconds: float = 0.0
-    """Tail latency that a serving task owes its own users; 0: it serves none."""
+    """Tail latency target of a serving (latency-critical) task; 0: it serves none."""
     fills: bool = False
-    """Whether the tasks take only processor time that others leave unused."""
+    """Whether the tasks are filling (best-effort): they use only idle processors."""
     may_miss: int = 0
-    """How many tasks may be kept from their work at one time by the scheduler."""
+    """Most tasks that the scheduler may interrupt at one time."""
 
 
 class Job(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A job as accepted; never changed after that."""
+    """A job as it was accepted; immutable."""
 
     id: JobId
     queue: str
     service: ServiceName
-    """The endpoints' service whose VMs run the tasks."""
+    """The service whose VMs run the tasks."""
     spec: str
     steps: tuple[Step, ...]
     accepted_at: float
-    """Wall clock seconds at the entry that took it."""
+    """Wall clock seconds at the entry that accepted the job."""
     priority: int = 0
-    """0 goes first."""
+    """0 is the most urgent."""
     attempts: int = 1
-    """How many failed runs end a task, and so its job."""
+    """Number of failed runs after which a task, and so its job, fails."""
     stretch: float = 1.0
+    """Factor on the job's estimated seconds in its objective."""
     target_latency: float = 0.0
-    """Seconds that the queue promises on top of `stretch` times the work."""
+    """Seconds that the objective adds to the stretched estimate."""
     occurrences: int = 1
     first_at: float = 0.0
     """Wall clock seconds at which occurrence 0 is due; 0: at once."""
     interval: float = 0.0
+    """Seconds between the due times of two occurrences."""
     advised: bool = False
-    """Whether only workers that the advice service grants may run the steps."""
+    """Whether only workers that the advice service permits may run the steps."""
 
 
 class JobState(Enum):
-    """How a job stands, as its submitter sees it."""
+    """State of a job, as its submitter sees it."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -111,58 +116,62 @@
     FAILED = "failed"
     STOPPED = "stopped"
     LAPSED = "lapsed"
+    """The run's lease expired."""
     BROKEN = "broken"
-    """Another member of its gang ended."""
+    """Another member of the gang ended."""
     ALONE = "alone"
-    """The rest of its gang did not come in time."""
+    """The other members of the gang did not start in time."""
 
 
 class TaskRecord(msgspec.Struct, array_like=True):
-    """What must last of a task that has run and not yet succeeded."""
+    """Durable progress of a task that has run and has not succeeded."""
 
     occurrence: int
     step: int
     position: int
     failed_runs: list[int] | int
-    """Numbers of the runs that failed by the task's fault or the worker's.
+    """Numbers of the runs that failed through the task's or the worker's fault.
 
-    Earlier versions stored only how many there were.
+    Earlier versions stored only their count.
     """
     checkpoint: str = ""
     checkpoint_run: int = 0
-    """The run that made the checkpoint; 0: not known."""
+    """Number of the run that wrote the checkpoint; 0: unknown."""
+
+    def failed_run_numbers(self) -> set[int]:
+        """Return the numbers of the failed runs.
 
-    def failures(self) -> set[int]:
-        """Return the runs that failed; ones of unknown number are 0 and below."""
+        Runs that an earlier version only counted get the numbers 0 and below.
+        """
         if isinstance(self.failed_runs, int):
             return set(range(1 - self.failed_runs, 1))
         return set(self.failed_runs)
 
 
 class JobRecord(msgspec.Struct, array_like=True):
-    """What must last of a job's progress."""
+    """Durable progress of a job."""
 
     state: JobState
     succeeded: list[tuple[int, int, list[int]]] = []
-    """Rows of occurrence, step and the positions that succeeded."""
+    """Rows of occurrence, step and the positions of the tasks that succeeded."""
     tasks: list[TaskRecord] = []
     ended_at: float = 0.0
-    """Wall clock seconds of the end; 0 while it goes on."""
+    """Wall clock seconds at which the job ended; 0 before that."""
 
 
 class WorkerState(Enum):
-    """Whether a VM may be given work."""
+    """Whether a worker accepts new runs."""
 
     READY = "ready"
     DRAINING = "draining"
 
 
 class WorkerInfo(msgspec.Struct, frozen=True, array_like=True):
-    """A worker as it describes itself, in one of its lives."""
+    """A worker's description of itself, in one incarnation."""
 
     id: str
     born: int
-    """Milliseconds since 1970 at its start; tells its lives apart."""
+    """Start time in milliseconds since 1970; identifies the incarnation."""
     service: ServiceName
     zone: ZoneName
     state: WorkerState
@@ -170,48 +179,49 @@
     labels: tuple[str, ...] = ()
     rack: str = ""
     cold_seconds: float = 0.0
+    """Remaining duration of the worker's cold start; 0: it is warm."""
     remaining_seconds: float = 0.0
-    """While draining: the least time until it ends."""
+    """While draining: least time until the worker terminates."""
 
 
 class Running(msgspec.Struct, frozen=True, array_like=True):
-    """A run that goes on at a worker."""
+    """A run in progress on a worker."""
 
     key: RunKey
     checkpoint: str = ""
     percent: int = 0
     figure: float = 0.0
-    """A serving task: its tail latency in seconds; any other: the cores in use.
+    """Rough measurement over the last half second.
 
-    Rough, and of the last half second.
+    The tail latency in seconds of a serving task; the cores in use of any other.
     """
 
 
 class Ended(msgspec.Struct, frozen=True, array_like=True):
-    """A run that ended and was not yet acknowledged."""
+    """The end of a run, listed by the worker until it is acknowledged."""
 
     number: int
-    """Counts the ends of one life of the worker, from 1."""
+    """Sequence number of the end in the worker's incarnation, from 1."""
     key: RunKey
     how: RunEnd
     checkpoint: str = ""
 
 
 class Refusal(Enum):
-    """Why a worker did not take a start."""
+    """Why a start order was refused."""
 
     STALE = "stale"
-    """A newer agent or a newer run was seen."""
+    """A newer agent or a newer run is known."""
     LATE = "late"
-    """Its lease had lapsed on arrival."""
+    """The start's lease had expired on arrival."""
     NO_ROOM = "no_room"
     TICKET = "ticket"
     UNHEALTHY = "unhealthy"
     INVALID = "invalid"
     NEVER_RAN = "never_ran"
-    """The order got no answer and was closed by a stop before it was carried out."""
+    """The order got no answer, and a stop revoked it before it was carried out."""
     NOT_ALLOWED = "not_allowed"
-    """The agent itself: draining, a zone taken out, or a leader past its validity."""
+    """The agent refused: draining, a zone taken out, or the leader's lease expired."""
 
 
 class Start(msgspec.Struct, frozen=True, array_like=True):
@@ -224,7 +234,7 @@
 
 
 class Pace(msgspec.Struct, frozen=True, array_like=True):
-    """An order to let a run work at a share of its processor time."""
+    """An order to throttle a run to a percentage of its processor time."""
 
     key: RunKey
     percent: int
--- /dev/null
+++ b/wagtailcleat/scheduling/pending_orders.py
@@ -0,0 +1,95 @@
+"""Orders that wait to be sent to an agent, and the state of its acknowledgements.
+
+`Dispatch` keeps these for each agent, and one `StartBudget` for all of them.
+"""
+
+from collections import deque
+from collections.abc import Sequence
+from dataclasses import dataclass, field
+
+from wagtailcleat.scheduling.book import JobEntry
+from wagtailcleat.scheduling.models import Pace, RunKey, Start
+
+MAX_RECENT_ENDS = 200
+"""Enough for the ends that a worker lists while a start is in doubt.
+
+A start is in doubt for two lists, in which a worker ends some tens of runs at most.
+"""
+
+
+@dataclass(eq=False)
+class EndTracker:
+    """Ends of one worker incarnation, from their receipt until they are stored."""
+
+    born: int = 0
+    """Identifies the incarnation, see `WorkerInfo`."""
+    received: int = 0
+    """Ends up to this number were received."""
+    durable: int = 0
+    """Ends up to this number are stored, and may be acknowledged."""
+    unstored: deque[tuple[int, JobEntry | None, int]] = field(default_factory=deque)
+    """Number of each end, its job, and the job's version that must be stored."""
+    recent_runs: deque[RunKey] = field(
+        default_factory=lambda: deque(maxlen=MAX_RECENT_ENDS)
+    )
+    """Runs whose ends were received most recently."""
+
+
+@dataclass(eq=False)
+class PendingOrders:
+    """Orders and the acknowledgement that wait to be sent to an agent."""
+
+    starts: list[Start] = field(default_factory=list)
+    stops: list[RunKey] = field(default_factory=list)
+    paces: list[Pace] = field(default_factory=list)
+    acknowledged: int = 0
+    """Number up to which ends are acknowledged; 0: there is nothing to send."""
+
+    def __bool__(self) -> bool:
+        """Return whether there is anything to send."""
+        return bool(self.starts or self.stops or self.paces or self.acknowledged)
+
+
+BURST_SECONDS = 0.1
+"""Longest time for which starts that are sent together may occupy the link."""
+START_OVERHEAD_BYTES = 80
+"""Approximate size of a start without its spec and checkpoint."""
+
+
+class StartBudget:
+    """A token bucket that limits the bytes of starts on the leader's link.
+
+    Starts carry the specs of jobs. More of them than the link can carry would delay the
+    pings and answers queued behind them, and agents would consider the leader lost.
+    """
+
+    def __init__(self, bytes_per_second: float) -> None:
+        """Start with a full bucket; an infinite rate means no limit."""
+        self._rate = bytes_per_second
+        self._capacity = bytes_per_second * BURST_SECONDS
+        self._available = self._capacity
+        self._refilled_at: float | None = None
+
+    def __repr__(self) -> str:
+        """Show the available bytes."""
+        return f"<StartBudget {self._available:.0f} of {self._capacity:.0f} bytes>"
+
+    def refill(self, now: float) -> None:
+        """Add the tokens for the time since the last call."""
+        if self._refilled_at is not None and now > self._refilled_at:
+            gained = self._rate * (now - self._refilled_at)
+            self._available = min(self._capacity, self._available + gained)
+        self._refilled_at = now
+
+    def spend(self, starts: Sequence[Start]) -> int:
+        """Return how many of the starts may be sent now, and deduct their bytes.
+
+        The last one may exceed the available bytes.
+        """
+        for count, start in enumerate(starts):
+            if self._available <= 0:
+                return count
+            self._available -= (
+                len(start.spec) + len(start.checkpoint) + START_OVERHEAD_BYTES
+            )
+        return len(starts)
--- /dev/null
+++ b/wagtailcleat/scheduling/placement_rounds.py
@@ -0,0 +1,377 @@
+"""Placement rounds: which waiting steps get room now, and on which VMs.
+
+The `Scheduler` runs a round after reports and changes. A step that found no room is
+searched for again only on VMs that have changed since: it still does not fit on others.
+"""
+
+from collections import Counter
+from collections.abc import Callable, Iterable
+from typing import NamedTuple
+
+from wagtailcleat.ids import Epoch, JobId, NodeId, ServiceName, ZoneName
+from wagtailcleat.scheduling.advice import Advice
+from wagtailcleat.scheduling.book import JobEntry, JobTable, StepKey, Task, TaskState
+from wagtailcleat.scheduling.models import RunKey
+from wagtailcleat.scheduling.placement import (
+    Candidates,
+    ScoringKey,
+    choose,
+    has_required_label,
+    scoring_key,
+)
+from wagtailcleat.scheduling.ranking import lateness, rank
+from wagtailcleat.scheduling.sharing import STARVED_ADDED, Sharing
+from wagtailcleat.scheduling.vms import HostedRun, Vm
+
+RUNS_PER_EPOCH = 1_000
+"""Run numbers reserved for each leader; a task is rarely started more often."""
+STARVED_SECONDS = 1.3
+"""How long a filling job without a run waits before it counts as starved.
+
+The users expect each job to have a task running within 3 s while there is room.
+"""
+MAX_COMMITTED_SHARE = 0.6
+"""Committed share of a pool's cores from which no job counts as starved.
+
+A pool that is more than this committed is full, and waiting is the right behaviour.
+"""
+MAX_QUARANTINED_SHARE = 0.25
+"""Quarantined share of a pool up to which the quarantine is respected.
+
+If more VMs fail everything, it is more likely that the work itself fails wherever it
+runs, and quarantining the VMs would keep sound work waiting.
+"""
+MAX_STARTS_PER_ROUND = 400
+"""Limits the number of orders that are sent together."""
+
+StartRun = Callable[[Vm, Task, int, float], None]
+"""Called to start a run: its VM, task, run number and the present time."""
+
+
+class _Search(NamedTuple):
+    """A search for room for a step; `starved` as in `placement.fits`."""
+
+    job: JobId
+    step: StepKey
+    starved: bool
+
+
+class PlacementRounds:
+    """Runs placement rounds and remembers which searches found no room."""
+
+    def __init__(
+        self,
+        epoch: Epoch,
+        book: JobTable,
+        sharing: Sharing,
+        advice: Advice,
+        start: StartRun,
+    ) -> None:
+        """Place tasks of `book`; `start` is called for each run to start."""
+        self._epoch = epoch
+        self._book = book
+        self._sharing = sharing
+        self._advice = advice
+        self._start = start
+        self.cut_short = False
+        """Whether the last round ended before all waiting steps were considered."""
+        self._round = 0
+        self._wall_now = 0.0
+        self._zones_out: frozenset[ZoneName] = frozenset()
+        self._seen_by_node: dict[NodeId, tuple[int, bool]] = {}
+        """Version of each VM in the last round, and whether work could start there."""
+        self._changed_round_by_node: dict[NodeId, int] = {}
+        """The round in which each VM was last found to have changed."""
+        self._failed_round_by_search: dict[_Search, int] = {}
+        """The round in which each search last found no room."""
+        self._pool_by_service: dict[ServiceName, list[Vm]] = {}
+        """The usable VMs of each service."""
+        self._changed_by_service: dict[ServiceName, list[Vm]] = {}
+        """The VMs of each pool that have changed since the last round."""
+        self._committed_by_service: dict[ServiceName, float] = {}
+        """Committed share of each pool's cores."""
+        self._vm_by_node: dict[NodeId, Vm] = {}
+        self._quarantine_by_pool: dict[tuple[ServiceName, str], bool] = {}
+        """Whether the quarantine is respected, by service and required label."""
+
+    def __repr__(self) -> str:
+        """Show the round and the number of searches that found no room."""
+        searches = len(self._failed_round_by_search)
+        return f"<PlacementRounds round {self._round}: {searches} without room>"
+
+    def run(
+        self,
+        vms: Iterable[Vm],
+        zones_out: frozenset[ZoneName],
+        *,
+        now: float,
+        wall_now: float,
+        in_time: Callable[[], bool] = lambda: True,
+    ) -> int:
+        """Start waiting tasks as far as there is room; return the number of starts.
+
+        Parameters: `in_time` is called between two steps and returns whether the round
+        may continue. If not, the other steps are left to the next round, and
+        `cut_short` is set.
+        """
+        self._round += 1
+        self._wall_now = wall_now
+        self._update_pools(vms, zones_out, now)
+        started = 0
+        self.cut_short = False
+        for entry, step in self._ranked_steps(now, wall_now):
+            if started >= MAX_STARTS_PER_ROUND or (started and not in_time()):
+                self.cut_short = True
+                break
+            started += self._place_step(entry, step, now)
+        return started
+
+    def _update_pools(
+        self, vms: Iterable[Vm], zones_out: frozenset[ZoneName], now: float
+    ) -> None:
+        """Group the usable VMs into pools and record which VMs have changed."""
+        all_changed = zones_out != self._zones_out
+        self._zones_out = zones_out
+        self._pool_by_service = {}
+        self._changed_by_service = {}
+        self._committed_by_service = {}
+        self._vm_by_node = {}
+        self._quarantine_by_pool = {}
+        seen_by_node = {}
+        for vm in vms:
+            self._vm_by_node[vm.node] = vm
+            usable = (
+                vm.is_usable and vm.zone not in zones_out and now >= vm.closed_until
+            )
+            seen = vm.version, usable and not vm.is_quarantined(now)
+            seen_by_node[vm.node] = seen
+            changed = all_changed or seen != self._seen_by_node.get(vm.node)
+            if changed:
+                self._changed_round_by_node[vm.node] = self._round
+            if usable and vm.service is not None:
+                self._pool_by_service.setdefault(vm.service, []).append(vm)
+                if changed:
+                    self._changed_by_service.setdefault(vm.service, []).append(vm)
+        for node in self._seen_by_node.keys() - seen_by_node.keys():
+            del self._changed_round_by_node[node]
+        self._seen_by_node = seen_by_node
+
+    def _candidates(self, search: _Search, service: ServiceName) -> list[Vm]:
+        """Return the VMs that may have room although an earlier search found none."""
+        failed_round = self._failed_round_by_search.get(search)
+        if failed_round is None or self._book.entry_by_id[search.job].job.advised:
+            # Tickets are granted and expire without a change of the VM.
+            return self._pool_by_service.get(service, [])
+        if failed_round == self._round - 1:
+            return self._changed_by_service.get(service, [])
+        pool = self._pool_by_service.get(service, [])
+        changed = self._changed_round_by_node
+        return [vm for vm in pool if changed[vm.node] > failed_round]
+
+    def _ranked_steps(
+        self, now: float, wall_now: float
+    ) -> list[tuple[JobEntry, StepKey]]:
+        """Return the waiting steps that may find room now, the highest-ranked first."""
+        ranked = []
+        known, self._failed_round_by_search = self._failed_round_by_search, {}
+        for entry in list(self._book.open_by_id.values()):
+            if not entry.settled:
+                continue
+            if entry.occurrences_begun < entry.job.occurrences:
+                self._book.begin_due(entry, now=now, wall_now=wall_now)
+            for step, count in entry.waiting_by_step.items():
+                if not count or not self._book.is_ready(entry, step):
+                    continue
+                # Only searches of waiting steps are kept: while a step runs, room may
+                # become free and be taken again.
+                for starved in (False, True):
+                    search = _Search(entry.job.id, step, starved)
+                    if search in known:
+                        self._failed_round_by_search[search] = known[search]
+                if self._may_find_room(entry, step):
+                    ranked.append((rank(entry, step, wall_now), entry, step))
+        ranked.sort(key=lambda row: row[0])
+        return [(entry, step) for _, entry, step in ranked]
+
+    def _may_find_room(self, entry: JobEntry, step: StepKey) -> bool:
+        search = _Search(entry.job.id, step, starved=False)
+        if self._candidates(search, entry.job.service):
+            return True
+        self._failed_round_by_search[search] = self._round
+        return entry.job.steps[step[1]].fills and not entry.placed_tasks
+
+    def _next_run(self, task: Task) -> int:
+        floor = (self._epoch - 1) * RUNS_PER_EPOCH
+        return max(task.highest_run, floor) + 1
+
+    def _place_step(self, entry: JobEntry, step: StepKey, now: float) -> int:
+        tasks = entry.tasks_by_step[step]
+        waiting = [task for task in tasks if task.state is TaskState.WAITING]
+        search = _Search(entry.job.id, step, starved=False)
+        vms = self._candidates(search, entry.job.service)
+        if waiting[0].step.gang:
+            started = self._place_gang(tasks, waiting, now) if vms else 0
+        else:
+            started = self._place_tasks(vms, tasks, waiting, now) if vms else 0
+        if started < len(waiting):
+            self._failed_round_by_search[search] = self._round
+            if not started and self._is_starved(waiting[0], now):
+                started = self._start_starved(tasks, waiting[0], step, now)
+        return started
+
+    def _place_tasks(
+        self, vms: list[Vm], tasks: list[Task], waiting: list[Task], now: float
+    ) -> int:
+        racks = self._count_racks(tasks)
+        candidates_by_key: dict[ScoringKey, Candidates] = {}
+        for started, task in enumerate(waiting):
+            key = scoring_key(task, racks)
+            if key not in candidates_by_key:
+                candidates_by_key[key] = self._score_candidates(vms, task, racks, now)
+            vm = candidates_by_key[key].best()
+            if vm is None:
+                return started
+            self._start(vm, task, self._next_run(task), now)
+            racks[vm.rack] += 1
+            for candidates in candidates_by_key.values():
+                candidates.rescore(vm)
+        return len(waiting)
+
+    def _score_candidates(
+        self, vms: list[Vm], task: Task, racks: Counter[str], now: float
+    ) -> Candidates:
+        """Score the VMs for a task and others with the same scoring key."""
+        step = task.step
+        late = lateness(task.entry, task.key.occurrence, self._wall_now)
+
+        def admits(vm: Vm) -> bool:
+            if not self._may_start(vm, task, now):
+                return False
+            return not step.fills or self._sharing.admits(vm, step, now, late)
+
+        return Candidates(
+            vms,
+            task,
+            now=now,
+            racks=racks,
+            is_allowed=admits,
+            interference=lambda vm: self._sharing.max_added(vm, step),
+        )
+
+    def _may_start(self, vm: Vm, task: Task, now: float) -> bool:
+        """Return whether a task may start on a VM, apart from room."""
+        if vm.is_quarantined(now) and self._respects_quarantine(task, now):
+            return False
+        return self._has_ticket(vm, task, now)
+
+    def _respects_quarantine(self, task: Task, now: float) -> bool:
+        """Return whether few enough VMs are quarantined for a task to avoid them."""
+        key = task.entry.job.service, task.step.required_label
+        known = self._quarantine_by_pool.get(key)
+        if known is None:
+            pool = self._pool_by_service.get(key[0], [])
+            held = [vm for vm in pool if has_required_label(vm, task.step)]
+            quarantined = sum(vm.is_quarantined(now) for vm in held)
+            known = self._quarantine_by_pool[key] = (
+                quarantined <= MAX_QUARANTINED_SHARE * len(held)
+            )
+        return known
+
+    def _has_ticket(self, vm: Vm, task: Task, now: float) -> bool:
+        job = task.entry.job
+        step = (task.key.occurrence, task.key.step)
+        return not job.advised or bool(self._advice.ticket(job.id, step, vm, now))
+
+    def _is_starved(self, task: Task, now: float) -> bool:
+        """Return whether a filling job has no run although the pool is not full."""
+        if not task.step.fills or now - task.ready_at < STARVED_SECONDS:
+            return False
+        if task.entry.placed_tasks:
+            return False
+        return self._committed_share(task.entry.job.service) < MAX_COMMITTED_SHARE
+
+    def _committed_share(self, service: ServiceName) -> float:
+        known = self._committed_by_service.get(service)
+        if known is None:
+            pool = self._pool_by_service.get(service, [])
+            held = sum(vm.capacity.cores for vm in pool)
+            known = sum(vm.taken.cores for vm in pool) / held if held else 1.0
+            self._committed_by_service[service] = known
+        return known
+
+    def _start_starved(
+        self, tasks: list[Task], task: Task, step: StepKey, now: float
+    ) -> int:
+        """Start one task of a starved job even if few cores are idle; return 1 or 0.
+
+        VMs without serving tasks are preferred.
+        """
+        search = _Search(task.entry.job.id, step, starved=True)
+        vms = self._candidates(search, task.entry.job.service)
+        racks = self._count_racks(tasks)
+        vms = [vm for vm in vms if self._may_start(vm, task, now)]
+        for allowed in (
+            lambda vm: not vm.serving_runs,
+            lambda vm: self._stays_within(vm, task),
+        ):
+            vm = choose(
+                vms, task, now=now, racks=racks, is_allowed=allowed, starved=True
+            )
+            if vm is not None:
+                self._start(vm, task, self._next_run(task), now)
+                return 1
+        self._failed_round_by_search[search] = self._round
+        return 0
+
+    def _stays_within(self, vm: Vm, task: Task) -> bool:
+        return self._sharing.stays_within(vm, task.step, STARVED_ADDED)
+
+    def _place_gang(self, tasks: list[Task], waiting: list[Task], now: float) -> int:
+        # All members of a gang start at once or none, and share one run number.
+        if len(waiting) < len(tasks):
+            return 0
+        run = max(self._next_run(task) for task in tasks)
+        checkpoint = max((task.checkpoint for task in tasks), default="")
+        chosen = self._choose_gang_vms(tasks, run, now)
+        if len(chosen) < len(tasks):
+            return 0
+        for task, vm in zip(tasks, chosen, strict=True):
+            task.checkpoint = checkpoint
+            self._start(vm, task, run, now)
+        return len(tasks)
+
+    def _choose_gang_vms(self, tasks: list[Task], run: int, now: float) -> list[Vm]:
+        """Return a VM for each member, or fewer VMs if there is too little room.
+
+        Each member is added to its VM while VMs for the next ones are searched, and is
+        removed again at the end.
+        """
+        pool = self._pool_by_service.get(tasks[0].entry.job.service, [])
+        racks: Counter[str] = Counter()
+        chosen: list[tuple[Vm, RunKey]] = []
+        for task in tasks:
+            vm = choose(
+                pool,
+                task,
+                now=now,
+                racks=racks,
+                is_allowed=lambda vm: self._may_start(vm, tasks[0], now),
+            )
+            if vm is None:
+                break
+            key = RunKey(task.key, run)
+            vm.host_run(HostedRun(key, task.step, now))
+            chosen.append((vm, key))
+            racks[vm.rack] += 1
+        for vm, key in chosen:
+            vm.drop_run(key)
+        return [vm for vm, _ in chosen]
+
+    def _count_racks(self, tasks: list[Task]) -> Counter[str]:
+        """Return the number of running tasks of one step by rack."""
+        racks: Counter[str] = Counter()
+        for task in tasks:
+            vm = self._vm_by_node.get(task.node) if task.node is not None else None
+            if vm is not None:
+                racks[vm.rack] += 1
+        return racks
--- a/wagtailcleat/scheduling/queues.py
+++ b/wagtailcleat/scheduling/queues.py
@@ -1,4 +1,7 @@
-"""The queues that submitters name, and the limits on what they send."""
+"""The queues to which jobs are submitted, and the limits on submission requests.
+
+The table is read from the operators' configuration; the submissions server uses it.
+"""
 
 from dataclasses import dataclass, field
 
@@ -7,25 +10,28 @@
 
 @dataclass(frozen=True)
 class Queue:
-    """Where jobs are handed in, and what is promised of them."""
+    """A queue: the host and path of its submissions, and its service objectives."""
 
     name: str
     host: str
     prefix: str
-    """What a path begins with; the job's id follows."""
+    """Prefix of the submission path; the job's id follows it."""
     service: ServiceName
     priority: int = 0
+    """0 is the most urgent."""
     attempts: int = 1
+    """Number of failed runs after which a task, and so its job, fails."""
     stretch: float = 1.0
+    """Factor on a job's estimated seconds in its objective."""
     target_latency: float = 0.0
-    """Seconds."""
+    """Seconds that the objective adds to the stretched estimate."""
     advised: bool = False
-    """Whether only the advice service knows which VMs may run a step."""
+    """Whether the advice service decides which VMs may run a step."""
 
 
 @dataclass(frozen=True)
 class RequestLimits:
-    """What a request may be at most; bytes and seconds."""
+    """Upper limits on a request, in bytes and seconds."""
 
     header_bytes: int = 16_384
     body_bytes: int = 262_144
@@ -35,7 +41,7 @@
 
 @dataclass(frozen=True)
 class QueueTable:
-    """All queues of one accepted version of the configuration."""
+    """All queues of one version of the configuration, by host."""
 
     version: int
     queues_by_host: dict[str, list[Queue]] = field(default_factory=dict)
@@ -47,7 +53,7 @@
         return f"<QueueTable version {self.version}: {count} queues>"
 
     def find(self, host: str, path: str) -> Queue | None:
-        """Return the queue with the longest prefix that `path` begins with."""
+        """Return the queue of `host` with the longest prefix of `path`, or None."""
         fitting = [
             queue
             for queue in self.queues_by_host.get(host.lower(), [])
@@ -59,7 +65,7 @@
 def queue_table(
     version: int, queues: list[Queue], limits: RequestLimits = RequestLimits()
 ) -> QueueTable:
-    """Return the table of `queues`, ordered for look-up."""
+    """Return a table of `queues` that is indexed by host."""
     by_host: dict[str, list[Queue]] = {}
     for queue in queues:
         by_host.setdefault(queue.host.lower(), []).append(queue)
--- a/wagtailcleat/scheduling/reasons.py
+++ b/wagtailcleat/scheduling/reasons.py
@@ -1,44 +1,44 @@
-"""Why a task started where it did, as the decision log tells it."""
+"""Reasons for the start of a task, for the leader's log."""
 
 from typing import NamedTuple
 
 
 class Margin(NamedTuple):
-    """What a filling task meets on a VM, beside the serving image that binds."""
+    """The most restrictive serving image beside a filling task on its VM."""
 
     beside: str = ""
-    """The serving image with the least room; empty where nobody serves."""
+    """The serving image with the least room; empty if no serving task runs there."""
     adds: float = 0.0
-    """Utilization that the task is expected to add to it at full pace."""
+    """Utilization that the task is expected to add to that image at full pace."""
     variance: float = 0.0
-    """Of that estimate, for a VM full of the task's image."""
+    """Variance of that estimate, for a VM full of the task's image."""
     room: float = 0.0
-    """Utilization that could still be added to it, by its last report."""
+    """Utilization that could still be added to that image, by its last report."""
     age: float = 0.0
-    """Seconds since the VM was last reported."""
+    """Seconds since the VM's last report."""
 
 
 class StartReason(NamedTuple):
-    """What decided a start."""
+    """Values that explain why a task was started, and where."""
 
     lateness: str
-    """When its job can be done at best."""
+    """Lower-case name of the job's `Lateness`."""
     slack: float
-    """Seconds that its job has beyond the work that is left; negative: late."""
+    """Seconds until the job's objective beyond its remaining work; negative: late."""
     due: float | None
-    """Seconds until the objective of its job; none where its step runs for ever."""
+    """Seconds until the objective of the job; None for a long-running step."""
     margin: Margin
 
     def fields(self) -> dict[str, str | float]:
-        """Return the fields of the log line; those of no use here are left out."""
-        told: dict[str, str | float] = {
+        """Return the fields of the log line, without those that do not apply."""
+        fields: dict[str, str | float] = {
             "lateness": self.lateness,
             "slack": round(self.slack, 2),
         }
         if self.due is not None:
-            told["due"] = round(self.due, 2)
+            fields["due"] = round(self.due, 2)
         if self.margin.beside:
-            told["beside"] = self.margin.beside
+            fields["beside"] = self.margin.beside
             for name in ("adds", "variance", "room", "age"):
-                told[name] = round(getattr(self.margin, name), 3)
-        return told
+                fields[name] = round(getattr(self.margin, name), 3)
+        return fields
--- a/wagtailcleat/scheduling/sharing.py
+++ b/wagtailcleat/scheduling/sharing.py
@@ -1,10 +1,12 @@
-"""Who fills beside tasks that serve, and at what pace.
-
-What a filling task adds to the utilization of a serving one is known by pair of images
-(`interference`) and goes from nothing to far too much. Filling tasks go where they add
-least; one whose image was not seen there yet may try while the load is low, one at a
-time. At each report those that add much are paced after the room that is left, and
-while a target is missed those that add most leave.
+"""Admission and throttling of filling tasks on VMs that run serving tasks.
+
+Placement rounds ask it for admission; the `Scheduler` passes it each report and carries
+out its actions. The utilization that a filling task adds to a serving one is estimated
+by pair of images (`interference`) and ranges from nothing to far too much. Filling
+tasks are placed where they add least. Tasks of an image that is not profiled beside the
+serving image are admitted one at a time, while the load is low. At each report,
+tasks that add much are throttled to the room that is left (their pace is set). While a
+target is missed, the tasks that add most are evicted.
 """
 
 from collections.abc import Iterator
@@ -14,125 +16,141 @@
 from wagtailcleat.ids import JobId, NodeId
 from wagtailcleat.scheduling.interference import Interference, Reading
 from wagtailcleat.scheduling.models import Step
-from wagtailcleat.scheduling.order import Lateness
+from wagtailcleat.scheduling.ranking import Lateness
 from wagtailcleat.scheduling.reasons import Margin
-from wagtailcleat.scheduling.vms import Hosted, Vm
+from wagtailcleat.scheduling.vms import HostedRun, Vm
 
 FULL_PACE = 100
+"""Percent."""
 MOST_ADDED = {Lateness.IN_TIME: 0.12, Lateness.LATE: 0.05, Lateness.TOO_LATE: 0.03}
-"""Utilization that all filling tasks on a VM may add to a serving one there."""
+"""Utilization that a VM's filling tasks together may add to a serving task."""
 STARVED_ADDED = 0.2
-"""The same where a job that had no turn is admitted all the same."""
+"""The same limit for the admission of a task of a starved job."""
 AIM_LOAD = 0.65
-"""Load up to which tasks that add much work on, and below which unknown images may
-come; the rest up to 1 is for what changes between two reports."""
-AHEAD_SECONDS = 0.4
-"""How far ahead the load of serving tasks is predicted when paces are set: until the
-next report, and for an order to act."""
+"""Target load of serving tasks, by which the room for filling tasks is computed.
+
+The margin between it and 1 covers changes between two reports.
+"""
+PREDICTION_SECONDS = 0.4
+"""How far ahead the load of serving tasks is predicted.
+
+The time until the next report, and until an order takes effect.
+"""
 RESIDUAL_LASTING = 0.6
-"""Share of what a VM's serving tasks have beyond the expected that is taken to last."""
-START_PACE = 0.5
-"""Pace, as a share, that the room must allow a task that adds much to start."""
-OVER_LOAD = 0.95
-"""Reported load from which the filling tasks that add most are paced down."""
-OVER_SECONDS = 1.0
-"""How long nobody is admitted on a VM after a serving run there was over its target."""
+"""Share of a VM's excess utilization over the prediction that is assumed to persist."""
+MIN_START_PACE = 0.5
+"""Pace, as a share, that the room must allow for a task that adds much to start."""
+OVERLOAD = 0.95
+"""Reported load from which a serving run counts as over its target."""
+ADMISSION_PAUSE_SECONDS = 1.0
+"""How long tasks that add much are not admitted after a serving run was overloaded."""
 STOP_SECONDS = 0.8
-"""How long a serving run may be over its target before what adds most to it leaves;
-until then it is paced."""
-BLAME_SECONDS = 1.8
-"""How long a serving run may be over its target before all that fills beside it stops
-working, whatever is known of it; the users allow 4 s."""
-ACT_SECONDS = 0.3
-"""Shortest time between two measures on one VM."""
-PROFILING_SECONDS = 0.7
-"""Shortest time between two starts of unprofiled images on one VM: a report must show
-the first."""
-SLOWEST_PACE = 10
+"""How long a serving run may be over its target before filling tasks are evicted.
+
+Those that add most are evicted first; until then filling tasks are throttled.
+"""
+EVICT_ALL_SECONDS = 1.8
+"""How long a serving run may be over its target before all filling tasks are evicted.
+
+Their estimates no longer count then. The users allow 4 s.
+"""
+MIN_ACTION_INTERVAL_SECONDS = 0.3
+"""Shortest time between two reports of a VM that lead to actions."""
+PROFILING_INTERVAL_SECONDS = 0.7
+"""Shortest time between two starts of unprofiled images on one VM.
+
+A report must show the effect of the first before the second starts.
+"""
+MIN_PACE = 10
 """Pace in percent below which a run is not worth its memory."""
-PACE_DOWN = 10
-"""Smallest step down that is ordered, in percent."""
-PACE_UP = 15
-"""Smallest step up that is ordered."""
-PACE_RISE = 35
-"""Largest step up: the load may be about to swing the other way."""
-LEAST_ADDED = 0.03
-"""Utilization that a run adds below which its pace is left alone."""
+MIN_PACE_DECREASE = 10
+"""Smallest decrease of a pace that is ordered, in percentage points."""
+MIN_PACE_INCREASE = 15
+"""Smallest increase that is ordered, in percentage points."""
+MAX_PACE_INCREASE = 35
+"""Largest increase, in percentage points: the load may be about to rise again."""
+MIN_ADDED = 0.03
+"""Added utilization below which a task is admitted freely and not throttled."""
 
 
 class ServingJob(NamedTuple):
-    """A job whose tasks serve, and their image."""
+    """A job of serving tasks, with their image."""
 
     id: JobId
     image: str
 
 
 @dataclass
-class Measure:
-    """What to do with a run that fills: a pace, or away from this VM."""
+class PaceAction:
+    """An action on a filling run: a new pace, or eviction from the VM."""
 
-    hosted: Hosted
+    hosted: HostedRun
     pace: int
+    """In percent; 0 evicts the run, or stops its work if it has no checkpoints."""
     why: str
-    """The serving image that binds, and how much too much or how much room there is."""
+    """The most restrictive serving image, with its load or its room."""
 
 
 @dataclass
-class _View:
-    """What was worked out of one VM."""
+class _VmState:
+    """Sharing state of one VM."""
 
     version: int = -1
+    """The VM's version for which `added_by_image` and `serving_jobs` were computed."""
     added_by_image: dict[str, float] = field(default_factory=dict)
-    """Utilization that fills at full pace add, at most, by serving image."""
+    """Most utilization that the filling runs add at full pace, by serving image."""
     serving_jobs: set[ServingJob] = field(default_factory=set)
     room_by_job: dict[ServingJob, float] = field(default_factory=dict)
-    """Utilization that may be added to each serving job's own until the next report."""
+    """Utilization that may be added to each serving job's own, by the last report."""
     over_since: float | None = None
-    over_at: float = -1e9
-    profiling_at: float = -1e9
-    measured_at: float = -1e9
+    """Since when a serving run has been over its target, if one is."""
+    last_over_at: float = -1e9
+    """When a serving run was last reported over its target."""
+    last_profiling_at: float = -1e9
+    """When a task of an unprofiled image last started."""
+    acted_at: float = -1e9
+    """When actions were last returned."""
 
 
 @dataclass
 class Sharing:
-    """What was learnt of images that share VMs, and of the VMs."""
+    """The interference model, and the sharing state of each VM."""
 
     interference: Interference = field(default_factory=Interference)
-    _view_by_node: dict[NodeId, _View] = field(default_factory=dict)
+    _state_by_node: dict[NodeId, _VmState] = field(default_factory=dict)
 
     def forget_vm(self, node: NodeId) -> None:
-        """Drop what is kept of a VM that is gone."""
-        self._view_by_node.pop(node, None)
-
-    # ---- learning
+        """Drop the state of a VM that was removed."""
+        self._state_by_node.pop(node, None)
 
     def observe(self, vm: Vm, now: float) -> None:
-        """Learn from the latest report of a VM."""
-        view = self._view(vm)
+        """Update the model and the VM's state from the VM's latest report."""
+        state = self._state(vm)
         shares = _used_shares(vm)
-        view.room_by_job = {}
+        state.room_by_job = {}
         for job, load in _reported_loads(vm):
             reading = Reading(job.id, job.image, load, shares, now)
             error = self.interference.learn(reading)
-            room = self._room_of(job, now) - RESIDUAL_LASTING * error
-            view.room_by_job[job] = room
-        over = any(load_of(hosted) >= OVER_LOAD for hosted in _serving(vm))
+            room = self._predicted_room(job, now) - RESIDUAL_LASTING * error
+            state.room_by_job[job] = room
+        over = any(reported_load(hosted) >= OVERLOAD for hosted in _serving(vm))
         if not over:
-            view.over_since = None
+            state.over_since = None
             return
-        view.over_at = now
-        if view.over_since is None:
-            view.over_since = now
+        state.last_over_at = now
+        if state.over_since is None:
+            state.over_since = now
 
-    # ---- admission
+    def max_added(self, vm: Vm, step: Step) -> float:
+        """Return the most utilization that a task of a filling step adds on a VM.
 
-    def added(self, vm: Vm, step: Step) -> float:
-        """Return the most utilization that a task of a filling step adds on a VM."""
+        The maximum over the serving images that run there.
+        """
         share = _share(vm, step)
         return max(
             (
-                self.interference.added(serving, step.image).cautious * share
-                for serving in self._added(vm)
+                self.interference.estimate(serving, step.image).conservative * share
+                for serving in self._added_by_image(vm)
             ),
             default=0.0,
         )
@@ -140,200 +158,213 @@
     def admits(
         self, vm: Vm, step: Step, now: float, lateness: Lateness = Lateness.IN_TIME
     ) -> bool:
-        """Tell whether a task of a filling step may start on a VM.
+        """Return whether a task of a filling step may start on a VM.
 
-        Parameters: `lateness` of its job; a result that is of less use may add less.
+        Parameters: `lateness` is that of the task's job; a task whose result is less
+        useful may add less utilization.
         """
-        if not vm.serving:
+        if not vm.serving_runs:
             return True
-        if self.added(vm, step) < LEAST_ADDED and not self.unprofiled(vm, step.image):
+        if self.max_added(vm, step) < MIN_ADDED and not self.is_unprofiled(
+            vm, step.image
+        ):
             return True
-        view = self._view(vm)
-        if now - view.over_at < OVER_SECONDS:
+        state = self._state(vm)
+        if now - state.last_over_at < ADMISSION_PAUSE_SECONDS:
             return False
-        if self.unprofiled(vm, step.image):
-            calm = now - view.profiling_at >= PROFILING_SECONDS
-            return calm and self._has_room(vm, step, 1.0, now)
-        return self.bears(vm, step, MOST_ADDED[lateness]) and self._has_room(
-            vm, step, START_PACE, now
+        if self.is_unprofiled(vm, step.image):
+            is_due = now - state.last_profiling_at >= PROFILING_INTERVAL_SECONDS
+            return is_due and self._has_room(vm, step, 1.0, now)
+        return self.stays_within(vm, step, MOST_ADDED[lateness]) and self._has_room(
+            vm, step, MIN_START_PACE, now
         )
 
     def margin(self, vm: Vm, step: Step, now: float) -> Margin:
-        """Return what a task of a filling step meets on a VM, for the log."""
-        room_by_job = self._room(vm, now)
+        """Return the margin for a task of a filling step on a VM, for the log."""
+        room_by_job = self._room_by_job(vm, now)
         if not room_by_job:
             return Margin()
         share = _share(vm, step)
-        added_by_image = self._added(vm)
+        added_by_image = self._added_by_image(vm)
 
-        def left(job: ServingJob) -> float:
-            adds = self.interference.added(job.image, step.image).cautious * share
+        def room_after_start(job: ServingJob) -> float:
+            adds = (
+                self.interference.estimate(job.image, step.image).conservative * share
+            )
             return room_by_job[job] - added_by_image[job.image] - adds
 
-        job = min(room_by_job, key=left)
-        estimate = self.interference.added(job.image, step.image)
+        job = min(room_by_job, key=room_after_start)
+        estimate = self.interference.estimate(job.image, step.image)
         return Margin(
             job.image,
-            estimate.cautious * share,
+            estimate.conservative * share,
             estimate.variance,
             room_by_job[job] - added_by_image[job.image],
             now - vm.listed_at,
         )
 
     def _has_room(self, vm: Vm, step: Step, pace: float, now: float) -> bool:
-        """Tell whether a task of a filling step could work at a pace for now."""
-        added_by_image = self._added(vm)
-        added = self.interference.added
+        """Return whether there is room for a filling step's task at a pace, a share."""
+        added_by_image = self._added_by_image(vm)
+        added = self.interference.estimate
         share = pace * _share(vm, step)
         return all(
-            added_by_image[job.image] + added(job.image, step.image).cautious * share
+            added_by_image[job.image]
+            + added(job.image, step.image).conservative * share
             <= room
-            for job, room in self._room(vm, now).items()
+            for job, room in self._room_by_job(vm, now).items()
         )
 
-    def admitted(self, vm: Vm, step: Step, now: float) -> None:
-        """Note that a task of a filling step starts on a VM."""
-        if vm.serving and self.unprofiled(vm, step.image):
-            self._view(vm).profiling_at = now
+    def record_start(self, vm: Vm, step: Step, now: float) -> None:
+        """Record that a task of a filling step starts on a VM."""
+        if vm.serving_runs and self.is_unprofiled(vm, step.image):
+            self._state(vm).last_profiling_at = now
 
-    def bears(self, vm: Vm, step: Step, most: float) -> bool:
-        """Tell whether one task more adds at most `most`, with those that are there."""
+    def stays_within(self, vm: Vm, step: Step, most: float) -> bool:
+        """Return whether the filling tasks and one more add at most `most` on a VM."""
         share = _share(vm, step)
-        estimate = self.interference.added
+        estimate = self.interference.estimate
         return all(
-            added + estimate(serving, step.image).cautious * share <= most
-            for serving, added in self._added(vm).items()
+            added + estimate(serving, step.image).conservative * share <= most
+            for serving, added in self._added_by_image(vm).items()
         )
 
-    def unprofiled(self, vm: Vm, image: str) -> bool:
-        """Tell whether an image was not seen yet beside one that serves on a VM."""
-        estimate = self.interference.added
-        return any(not estimate(serving, image).known for serving in self._added(vm))
-
-    # ---- pace
+    def is_unprofiled(self, vm: Vm, image: str) -> bool:
+        """Return whether an image's effect on some serving image on a VM is unknown."""
+        estimate = self.interference.estimate
+        return any(
+            not estimate(serving, image).is_known
+            for serving in self._added_by_image(vm)
+        )
 
-    def measures(self, vm: Vm, now: float) -> list[Measure]:
-        """Return what to do on a VM now that its runs have been reported."""
-        fills = list(_fills(vm))
-        view = self._view(vm)
-        if not fills or now - view.measured_at < ACT_SECONDS:
+    def actions(self, vm: Vm, now: float) -> list[PaceAction]:
+        """Return the actions on a VM's filling runs after a report."""
+        filling = list(_filling(vm))
+        state = self._state(vm)
+        if not filling or now - state.acted_at < MIN_ACTION_INTERVAL_SECONDS:
             return []
-        if view.over_since is not None and now - view.over_since >= STOP_SECONDS:
-            measures = self._evict(vm, view, fills, now)
+        if state.over_since is not None and now - state.over_since >= STOP_SECONDS:
+            actions = self._evict(vm, state, filling, now)
         else:
-            measures = self._follow_load(vm, fills, now)
-        if measures:
-            view.measured_at = now
-        return measures
+            actions = self._adjust_paces(vm, filling, now)
+        if actions:
+            state.acted_at = now
+        return actions
 
     def _evict(
-        self, vm: Vm, view: _View, fills: list[Hosted], now: float
-    ) -> list[Measure]:
-        """Evict what adds most, until the worst run is expected to do well."""
-        worst = max(_serving(vm), key=load_of, default=None)
-        if worst is None or view.over_since is None:
+        self, vm: Vm, state: _VmState, filling: list[HostedRun], now: float
+    ) -> list[PaceAction]:
+        """Evict the runs that add most, until the worst serving run should recover."""
+        worst = max(_serving(vm), key=reported_load, default=None)
+        if worst is None or state.over_since is None:
             return []
         image = worst.step.image
 
-        def added(run: Hosted) -> float:
-            """Return what a run adds at full pace."""
-            estimate = self.interference.added(image, run.step.image)
-            return estimate.cautious * _share(vm, run.step)
+        def added(run: HostedRun) -> float:
+            """Return the utilization that a run adds at full pace."""
+            estimate = self.interference.estimate(image, run.step.image)
+            return estimate.conservative * _share(vm, run.step)
 
-        blamed = now - view.over_since >= BLAME_SECONDS
+        evicts_all = now - state.over_since >= EVICT_ALL_SECONDS
         utilization = self.interference.utilization
-        too_much = utilization(image, load_of(worst)) - utilization(image, AIM_LOAD)
-        working = [run for run in fills if run.pace]
-        measures: list[Measure] = []
+        too_much = utilization(image, reported_load(worst)) - utilization(
+            image, AIM_LOAD
+        )
+        working = [run for run in filling if run.pace]
+        actions: list[PaceAction] = []
         for run in sorted(working, key=added, reverse=True):
-            enough = too_much <= 0 or added(run) < LEAST_ADDED
-            if not blamed and enough and measures:
+            enough = too_much <= 0 or added(run) < MIN_ADDED
+            if not evicts_all and enough and actions:
                 break
             too_much -= added(run) * run.pace / FULL_PACE
-            measures.append(Measure(run, 0, f"{image} at {load_of(worst):.2f}"))
-        return measures
-
-    def _follow_load(self, vm: Vm, fills: list[Hosted], now: float) -> list[Measure]:
-        room_by_job = self._room(vm, now)
-        measures = []
-        for run in fills:
-            pace = self._pace(vm, run, room_by_job)
-            why = self._least_room(room_by_job)
-            if pace <= run.pace - PACE_DOWN:
-                measures.append(Measure(run, pace, why))
-            elif pace >= run.pace + PACE_UP or pace == FULL_PACE > run.pace:
-                pace = min(pace, run.pace + PACE_RISE)
-                measures.append(Measure(run, pace, why))
-        return measures
-
-    def _least_room(self, room_by_job: dict[ServingJob, float]) -> str:
+            actions.append(PaceAction(run, 0, f"{image} at {reported_load(worst):.2f}"))
+        return actions
+
+    def _adjust_paces(
+        self, vm: Vm, filling: list[HostedRun], now: float
+    ) -> list[PaceAction]:
+        room_by_job = self._room_by_job(vm, now)
+        actions = []
+        for run in filling:
+            pace = self._target_pace(vm, run, room_by_job)
+            why = self._describe_least_room(room_by_job)
+            if pace <= run.pace - MIN_PACE_DECREASE:
+                actions.append(PaceAction(run, pace, why))
+            elif pace >= run.pace + MIN_PACE_INCREASE or pace == FULL_PACE > run.pace:
+                pace = min(pace, run.pace + MAX_PACE_INCREASE)
+                actions.append(PaceAction(run, pace, why))
+        return actions
+
+    def _describe_least_room(self, room_by_job: dict[ServingJob, float]) -> str:
         if not room_by_job:
             return "nobody serves"
         job, room = min(room_by_job.items(), key=lambda item: item[1])
         return f"{job.image} has room for {room:.2f}"
 
-    def _room(self, vm: Vm, now: float) -> dict[ServingJob, float]:
-        """Return the utilization that may be added soon to each serving job's own."""
-        view = self._current(vm)
-        reported = view.room_by_job
+    def _room_by_job(self, vm: Vm, now: float) -> dict[ServingJob, float]:
+        """Return the utilization that may be added to each serving job's own."""
+        state = self._refreshed_state(vm)
+        reported = state.room_by_job
         return {
-            job: reported[job] if job in reported else self._room_of(job, now)
-            for job in view.serving_jobs
+            job: reported[job] if job in reported else self._predicted_room(job, now)
+            for job in state.serving_jobs
         }
 
-    def _room_of(self, job: ServingJob, now: float) -> float:
-        """Return the room beside tasks of a serving job, by what is known elsewhere."""
+    def _predicted_room(self, job: ServingJob, now: float) -> float:
+        """Return the room beside a serving job's tasks, predicted by the model."""
         aim = self.interference.utilization(job.image, AIM_LOAD)
-        return aim - self.interference.own(job.id, job.image, now + AHEAD_SECONDS)
+        return aim - self.interference.expected_own(
+            job.id, job.image, now + PREDICTION_SECONDS
+        )
 
-    def _pace(self, vm: Vm, run: Hosted, room_by_job: dict[ServingJob, float]) -> int:
-        added_by_image = self._added(vm)
+    def _target_pace(
+        self, vm: Vm, run: HostedRun, room_by_job: dict[ServingJob, float]
+    ) -> int:
+        added_by_image = self._added_by_image(vm)
         share = _share(vm, run.step)
         part = 1.0
         for job, room in room_by_job.items():
-            estimate = self.interference.added(job.image, run.step.image)
-            if estimate.cautious * share >= LEAST_ADDED:
+            estimate = self.interference.estimate(job.image, run.step.image)
+            if estimate.conservative * share >= MIN_ADDED:
                 part = min(part, room / added_by_image[job.image])
-        return max(SLOWEST_PACE, int(FULL_PACE * part))
+        return max(MIN_PACE, int(FULL_PACE * part))
 
-    # ---- what is kept of a VM
+    def _state(self, vm: Vm) -> _VmState:
+        return self._state_by_node.setdefault(vm.node, _VmState())
 
-    def _view(self, vm: Vm) -> _View:
-        return self._view_by_node.setdefault(vm.node, _View())
+    def _added_by_image(self, vm: Vm) -> dict[str, float]:
+        """Return the most that the filling runs add at full pace, by serving image."""
+        return self._refreshed_state(vm).added_by_image
 
-    def _added(self, vm: Vm) -> dict[str, float]:
-        """Return what the fills at full pace add, at most, by serving image."""
-        return self._current(vm).added_by_image
+    def _refreshed_state(self, vm: Vm) -> _VmState:
+        """Return a VM's state, recomputed if the VM has changed or reported.
 
-    def _current(self, vm: Vm) -> _View:
-        """Return what was worked out of a VM, anew once it has changed or reported.
-
-        Each waiting task asks for it. What is learnt elsewhere meanwhile counts from
-        the next report on.
+        It is cached because each waiting task reads it. What the model learns meanwhile
+        from other VMs takes effect with the VM's next change or report.
         """
-        view = self._view(vm)
-        if view.version == vm.version:
-            return view
+        state = self._state(vm)
+        if state.version == vm.version:
+            return state
         share_by_image: dict[str, float] = {}
-        for run in _fills(vm):
+        for run in _filling(vm):
             image = run.step.image
             share = _share(vm, run.step)
             share_by_image[image] = share_by_image.get(image, 0.0) + share
-        view.serving_jobs = {_job_of(hosted) for hosted in _serving(vm)}
-        added = self.interference.added
-        view.added_by_image = {
+        state.serving_jobs = {_serving_job(hosted) for hosted in _serving(vm)}
+        added = self.interference.estimate
+        state.added_by_image = {
             serving: sum(
-                added(serving, image).cautious * share
+                added(serving, image).conservative * share
                 for image, share in share_by_image.items()
             )
-            for serving in {job.image for job in view.serving_jobs}
+            for serving in {job.image for job in state.serving_jobs}
         }
-        view.version = vm.version
-        return view
+        state.version = vm.version
+        return state
 
 
 def _used_shares(vm: Vm) -> dict[str, float]:
-    """Return the share of a VM's cores that each filling image uses."""
+    """Return the share of a VM's cores that each filling image uses, as reported."""
     share_by_image: dict[str, float] = {}
     if not vm.capacity.cores:
         return share_by_image
@@ -346,40 +377,42 @@
 
 
 def _reported_loads(vm: Vm) -> list[tuple[ServingJob, float]]:
-    """Return each serving job with the mean load that its tasks on a VM report."""
+    """Return each serving job on a VM with the mean load that its tasks report."""
     loads_by_job: dict[ServingJob, list[float]] = {}
     for hosted in _serving(vm):
         if hosted.figure:
-            loads_by_job.setdefault(_job_of(hosted), []).append(load_of(hosted))
+            loads_by_job.setdefault(_serving_job(hosted), []).append(
+                reported_load(hosted)
+            )
     return [(job, sum(loads) / len(loads)) for job, loads in loads_by_job.items()]
 
 
-def _job_of(hosted: Hosted) -> ServingJob:
+def _serving_job(hosted: HostedRun) -> ServingJob:
     return ServingJob(hosted.key.task.job, hosted.step.image)
 
 
-def load_of(hosted: Hosted) -> float:
+def reported_load(hosted: HostedRun) -> float:
     """Return a serving run's reported tail latency as a share of its target."""
     return hosted.figure / hosted.step.target_seconds
 
 
-def shares(step: Step) -> bool:
-    """Tell whether tasks of a step slow others, or are slowed by them."""
+def affects_sharing(step: Step) -> bool:
+    """Return whether a step's tasks interfere with others or are interfered with."""
     return step.fills or step.target_seconds > 0
 
 
 def _share(vm: Vm, step: Step) -> float:
-    """Return the share of a VM's cores that a task of a step can work on."""
+    """Return the share of a VM's cores that a task of a step can use."""
     return step.size.cores / vm.capacity.cores if vm.capacity.cores else 1.0
 
 
-def _serving(vm: Vm) -> Iterator[Hosted]:
+def _serving(vm: Vm) -> Iterator[HostedRun]:
     for hosted in vm.hosted_by_run.values():
         if hosted.step.target_seconds and not hosted.stopping:
             yield hosted
 
 
-def _fills(vm: Vm) -> Iterator[Hosted]:
+def _filling(vm: Vm) -> Iterator[HostedRun]:
     for hosted in vm.hosted_by_run.values():
         if hosted.step.fills and not hosted.stopping:
             yield hosted
--- a/wagtailcleat/scheduling/vms.py
+++ b/wagtailcleat/scheduling/vms.py
@@ -1,4 +1,7 @@
-"""The VMs as the leader sees them: what each holds, runs and has free."""
+"""The leader's view of the VMs: their capacity, runs and free resources.
+
+The `Scheduler` updates it from reports; placement and sharing read it.
+"""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -9,53 +12,62 @@
 from wagtailcleat.scheduling.reasons import StartReason
 
 FAILURES_TO_AVOID = 2
-"""Runs of different tasks that failed in a row before a VM is passed over; tasks fail
-by their own fault, too, but seldom twice in a row."""
+"""Consecutive failed runs after which a VM is avoided.
+
+Tasks also fail through their own fault, but seldom twice in a row.
+"""
 FAILURES_TO_QUARANTINE = 3
-"""Runs that failed in a row before nothing is started on a VM.
+"""Consecutive failed runs after which a VM is quarantined: nothing starts there.
 
-A VM that fails all it starts is the one with room, over and over: passing it over helps
-only while others have room, and a waiting task spends all its attempts there.
+A VM on which every run fails soon has room again. Avoiding it helps only while other
+VMs have room; after that a waiting task would use up all its attempts there.
 """
 AVOID_SECONDS = 6.0
-"""How long a VM is passed over after its last failure, before it is tried again."""
+"""How long a VM is avoided or quarantined after its last failure."""
 
 PERCENT = 100
 SLOW_SPEED = 0.4
-"""Speed below which a VM is passed over: estimates are off by a fifth to a half, and a
-VM that turned slow runs at a sixth or stands still."""
-SLOW_SECONDS = 2.5
-"""For how long after the last sight of it; then it is tried again."""
+"""Speed below which a VM is avoided.
+
+Estimates are off by a fifth to a half, while a VM that has become slow runs at a sixth
+of its speed or stands still.
+"""
+SLOW_VM_AVOID_SECONDS = 2.5
+"""How long a VM is avoided after its speed was last measured as slow."""
 SPEED_WEIGHT = 0.3
-"""Weight of one run's progress between two reports, a third of a second apart."""
-SERVING_USE = 0.45
-"""Share of its cores that a serving run is expected to use on average."""
+"""Weight of one measurement of a run's progress in its VM's average speed."""
+EXPECTED_SERVING_USE = 0.45
+"""Share of its committed cores that a serving run uses on average."""
 
 
 @dataclass(eq=False)
-class Hosted:
-    """A run that takes room on a VM until its end is listed."""
+class HostedRun:
+    """A run that occupies resources of a VM until its end is listed."""
 
     key: RunKey
     step: Step
     ordered_at: float
-    order: int = 0
-    """Number of the orders that carried its start; 0: learned from a report."""
+    order_number: int = 0
+    """Number of the orders that contained its start; 0: learned from a report."""
     session: int = 0
-    """Of the agent's connection on which it was ordered."""
+    """Number of the agent connection on which the start was sent."""
     sent: bool = True
-    """False until the orders with its start have left."""
+    """False until the orders that contain its start are sent."""
     listed: bool = False
-    """Whether the worker's own list has shown it."""
+    """Whether the worker has listed the run."""
     stopping: bool = False
     stop_at: float = 0.0
+    """When a stop was last ordered."""
     percent: int = 0
+    """Progress of the run when it was last measured."""
     progressed_at: float = 0.0
-    """When its percent was last judged."""
+    """When its progress was last measured."""
     figure: float = 0.0
+    """The last measurement in a report, see `Running`."""
     pace: int = 100
+    """Percentage of its processor time that the run may use."""
     reason: StartReason | None = None
-    """What decided its start, where this leader started it."""
+    """Why the run was started; None if an earlier leader started it."""
 
 
 @dataclass(eq=False)
@@ -67,75 +79,86 @@
     port: int
     zone: ZoneName
     heard_at: float
+    """When its agent last reported."""
     worker: WorkerInfo | None = None
     listed: bool = False
+    """Whether its agent's last report contained the list of the worker's runs."""
     listed_at: float = 0.0
-    """When its agent last reported what its worker runs."""
+    """When its agent last reported that list."""
     present: bool = False
-    """Whether the agent is in touch."""
+    """Whether the agent is connected."""
     registered: bool = False
-    """Whether the store names the agent, so that a next leader will wait for it."""
+    """Whether the agent is in the store, so that a next leader will wait for it."""
     silent_seconds: float = 0.0
+    """How long the worker has not answered its agent; 0: it answers."""
     session: int = 0
+    """Number of the agent's connection."""
     orders_sent: int = 0
-    hosted_by_run: dict[RunKey, Hosted] = field(default_factory=dict)
+    """Number of the last orders sent to the agent."""
+    hosted_by_run: dict[RunKey, HostedRun] = field(default_factory=dict)
     taken: Resources = NOTHING
-    """Committed; a run that fills takes memory and accelerators only."""
+    """Committed resources; a filling run commits only memory and accelerators."""
     filling_cores: float = 0.0
-    """What the runs that fill would use if they could."""
+    """Cores that the filling runs would use at full pace."""
     serving_by_image: Counter[str] = field(default_factory=Counter)
-    """Runs that serve users of their own."""
+    """Number of serving runs by image."""
     serving_cores: float = 0.0
-    """What those have committed."""
+    """Cores that the serving runs have committed."""
     failures: int = 0
+    """Number of consecutive failed runs."""
     failed_at: float = 0.0
+    """When a run last failed."""
     changed_at: float = 0.0
-    """When the set of runs, or a pace, last changed."""
+    """When the set of runs or the pace of a run last changed."""
     speed: float = 1.0
-    """Progress of short runs here, as a share of what their estimates say."""
+    """Moving average of the runs' progress, as a share of their estimated progress."""
     speed_at: float = -1e9
+    """When the speed was last measured."""
     closed_until: float = -1e9
-    """Until when nothing is started here: its agent refused a start."""
+    """Until when nothing starts on the VM, because its agent refused a start."""
     version: int = 0
-    """Rises with each change that may make room or load here different."""
+    """Increases with each change that may affect room or load on the VM."""
 
     def __repr__(self) -> str:
-        """Show the VM and what it has committed."""
+        """Show the VM, its number of runs and its committed resources."""
         return f"<Vm {self.node}: {len(self.hosted_by_run)} runs, {self.taken}>"
 
     @property
     def service(self) -> ServiceName | None:
-        """The service whose pool the VM belongs to."""
+        """The service to whose pool the VM belongs."""
         return self.worker.service if self.worker else None
 
     @property
     def rack(self) -> str:
-        """The VM's rack, empty where unknown."""
+        """The VM's rack; empty if unknown."""
         return self.worker.rack if self.worker else ""
 
     @property
     def capacity(self) -> Resources:
-        """All that the VM holds."""
+        """All resources of the VM."""
         return self.worker.capacity if self.worker else NOTHING
 
     @property
     def free(self) -> Resources:
-        """What is not committed."""
+        """Resources that are not committed."""
         return self.capacity - self.taken
 
     @property
     def spare_cores(self) -> float:
-        """Cores that nobody is expected to use: serving runs leave some of theirs."""
-        left = self.serving_cores * (1 - SERVING_USE)
-        return self.capacity.cores - self.taken.cores + left - self.filling_cores
+        """Cores expected to be idle, including those that serving runs do not use."""
+        unused = self.serving_cores * (1 - EXPECTED_SERVING_USE)
+        return self.capacity.cores - self.taken.cores + unused - self.filling_cores
 
     @property
-    def serving(self) -> int:
-        """How many runs serve users of their own."""
+    def serving_runs(self) -> int:
+        """Number of serving runs."""
         return self.serving_by_image.total()
 
     def has_room(self, room: Resources) -> bool:
-        """Tell whether `room` is left; asked for each VM and waiting task."""
+        """Return whether `room` is free.
+
+        Called for each VM and waiting task, so it compares without creating objects.
+        """
         held, taken = self.capacity, self.taken
         return (
             room.cores <= held.cores - taken.cores + ROUNDING_CORES
@@ -143,14 +166,14 @@
             and room.accelerators <= held.accelerators - taken.accelerators
         )
 
-    def altered(self, now: float) -> None:
-        """Note that what runs here, or at what pace, is different from now on."""
+    def mark_changed(self, now: float) -> None:
+        """Record that the set of runs or the pace of a run has changed."""
         self.changed_at = now
         self.version += 1
 
     @property
-    def usable(self) -> bool:
-        """Whether the VM may be given work, as far as its agent says."""
+    def is_usable(self) -> bool:
+        """Whether the VM may be given work, by its agent's last report."""
         return (
             self.present
             and self.registered
@@ -160,18 +183,18 @@
             and self.silent_seconds == 0.0
         )
 
-    def avoided(self, now: float) -> bool:
-        """Tell whether work started here has failed or stood still lately."""
+    def is_avoided(self, now: float) -> bool:
+        """Return whether runs on the VM failed repeatedly or were slow recently."""
         fails = self.failures >= FAILURES_TO_AVOID
         if fails and now < self.failed_at + AVOID_SECONDS:
             return True
-        return self.speed < SLOW_SPEED and now < self.speed_at + SLOW_SECONDS
+        return self.speed < SLOW_SPEED and now < self.speed_at + SLOW_VM_AVOID_SECONDS
 
-    def quarantined(self, now: float) -> bool:
-        """Tell whether nothing is to be started here: all that was started failed.
+    def is_quarantined(self, now: float) -> bool:
+        """Return whether nothing may start on the VM, because its last runs all failed.
 
-        After a pause one run tries the VM; others follow once it has done well, or has
-        worked on for as long as the pause.
+        After `AVOID_SECONDS` a single run is admitted to test the VM. Others follow
+        once it succeeds or has run for as long as that.
         """
         if self.failures < FAILURES_TO_QUARANTINE:
             return False
@@ -182,10 +205,13 @@
             for run in self.hosted_by_run.values()
         )
 
-    def progressed(self, step: Step, percent: int, seconds: float, now: float) -> None:
-        """Note by how many points a run went on in `seconds`.
+    def record_progress(
+        self, step: Step, percent: int, seconds: float, now: float
+    ) -> None:
+        """Update the speed with a run's progress by `percent` points in `seconds`.
 
-        Only runs that have their processors to themselves tell how fast the VM is.
+        Only runs with their own processors count: others also depend on their
+        neighbours.
         """
         if step.fills or step.target_seconds or step.gang or seconds <= 0:
             return
@@ -193,26 +219,26 @@
         self.speed += SPEED_WEIGHT * (min(speed, 1.0) - self.speed)
         self.speed_at = now
 
-    def host_run(self, hosted: Hosted) -> None:
-        """Commit room to a run."""
+    def host_run(self, hosted: HostedRun) -> None:
+        """Add a run and commit its resources."""
         if hosted.key in self.hosted_by_run:
             return
         self.version += 1
         self.hosted_by_run[hosted.key] = hosted
-        self.taken += room_of(hosted.step)
+        self.taken += committed_resources(hosted.step)
         if hosted.step.fills:
             self.filling_cores += hosted.step.size.cores
         if hosted.step.target_seconds:
             self.serving_by_image[hosted.step.image] += 1
             self.serving_cores += hosted.step.size.cores
 
-    def drop_run(self, key: RunKey) -> Hosted | None:
-        """Free the room of a run that is gone."""
+    def drop_run(self, key: RunKey) -> HostedRun | None:
+        """Remove a run, free its resources and return it, or return None."""
         hosted = self.hosted_by_run.pop(key, None)
         if hosted is None:
             return None
         self.version += 1
-        self.taken -= room_of(hosted.step)
+        self.taken -= committed_resources(hosted.step)
         if hosted.step.fills:
             self.filling_cores -= hosted.step.size.cores
         if hosted.step.target_seconds:
@@ -225,18 +251,18 @@
         if not self.serving_by_image[step.image]:
             del self.serving_by_image[step.image]
 
-    def succeeded(self) -> None:
-        """Note that a run did well here."""
+    def record_success(self) -> None:
+        """Record that a run succeeded on the VM."""
         self.failures = 0
 
-    def failed(self, now: float) -> None:
-        """Note that a run failed here."""
+    def record_failure(self, now: float) -> None:
+        """Record that a run failed on the VM."""
         self.failures += 1
         self.failed_at = now
 
 
-def room_of(step: Step) -> Resources:
-    """Return what a task of a step commits."""
+def committed_resources(step: Step) -> Resources:
+    """Return the resources that a task of a step commits."""
     if step.fills:
         return Resources(0.0, step.size.memory_mb, step.size.accelerators)
     return step.size
