--- a/wagtailcleat/scheduling/dispatch.py
+++ b/wagtailcleat/scheduling/dispatch.py
@@ -7,7 +7,7 @@
 
 from wagtailcleat.ids import Epoch, NodeId
 from wagtailcleat.scheduling.models import RunKey, Start
-from wagtailcleat.scheduling.pending_orders import (
+from wagtailcleat.scheduling.outgoing import (
     EndTracker,
     PendingOrders,
     StartBudget,
--- a/wagtailcleat/scheduling/placement_rounds.py
+++ b/wagtailcleat/scheduling/placement_rounds.py
@@ -96,8 +96,10 @@
 
     def __repr__(self) -> str:
         """Show the round and the number of searches that found no room."""
-        searches = len(self._failed_round_by_search)
-        return f"<PlacementRounds round {self._round}: {searches} without room>"
+        return (
+            f"<PlacementRounds round {self._round}: "
+            f"{len(self._failed_round_by_search)} searches>"
+        )
 
     def run(
         self,
--- a/wagtailcleat/scheduling/scheduler.py
+++ b/wagtailcleat/scheduling/scheduler.py
@@ -23,7 +23,7 @@
     RunKey,
     Start,
 )
-from wagtailcleat.scheduling.pending_orders import EndTracker
+from wagtailcleat.scheduling.outgoing import EndTracker
 from wagtailcleat.scheduling.placement_rounds import PlacementRounds
 from wagtailcleat.scheduling.ranking import due_seconds, lateness, slack_seconds
 from wagtailcleat.scheduling.reasons import Margin, StartReason
--- a/wagtailcleat/scheduling/sharing.py
+++ b/wagtailcleat/scheduling/sharing.py
@@ -206,11 +206,11 @@
     def _has_room(self, vm: Vm, step: Step, pace: float, now: float) -> bool:
         """Return whether there is room for a filling step's task at a pace, a share."""
         added_by_image = self._added_by_image(vm)
-        added = self.interference.estimate
+        estimate = self.interference.estimate
         share = pace * _share(vm, step)
         return all(
             added_by_image[job.image]
-            + added(job.image, step.image).conservative * share
+            + estimate(job.image, step.image).conservative * share
             <= room
             for job, room in self._room_by_job(vm, now).items()
         )
@@ -351,10 +351,10 @@
             share = _share(vm, run.step)
             share_by_image[image] = share_by_image.get(image, 0.0) + share
         state.serving_jobs = {_serving_job(hosted) for hosted in _serving(vm)}
-        added = self.interference.estimate
+        estimate = self.interference.estimate
         state.added_by_image = {
             serving: sum(
-                added(serving, image).conservative * share
+                estimate(serving, image).conservative * share
                 for image, share in share_by_image.items()
             )
             for serving in {job.image for job in state.serving_jobs}
