--- a/features/scheduling/bursts.feature
+++ b/features/scheduling/bursts.feature
@@ -1,26 +1,26 @@
 Feature: A burst of wide jobs on a large fleet
 
-  Scenario: Tasks of one step share the look at the VMs
-    # Guards against rounds that cost tasks times VMs: the leader stood still for seconds.
+  Scenario: Tasks of one step share the scores of the VMs
+    # Guards against rounds that score each VM for each task and block the leader.
     Given 160 VMs of 32 cores
     When job "wide" of 60 tasks with 4 cores is placed
     Then 60 tasks of job "wide" run
     And its VMs were scored 220 times at most
 
-  Scenario: A shared look finds what a look for each task finds
-    # Guards against worse places than one look for each task would find.
+  Scenario: Shared scores choose the same VMs as scores for each task
+    # Guards against shared scores that are stale and choose worse VMs.
     Then in 200 random fleets both choose the same VMs
 
-  Scenario: A round that is out of time leaves the rest to the next one
-    # Guards against a leader that answers nobody while it places a burst.
+  Scenario: A round whose time is up leaves the rest to the next round
+    # Guards against a leader that is blocked while it places a burst.
     Given 4 VMs of 32 cores
     And 6 jobs of 2 tasks with 4 cores wait
     When a round has time for one job only
-    Then 2 tasks run and the round was not whole
+    Then 2 tasks run and the round was cut short
     When a round has time for all
-    Then 12 tasks run and the round was whole
+    Then 12 tasks run and the round was complete
 
-  Scenario: What a round had no time for is tried where nothing has changed since
+  Scenario: A step that a round had no time for is placed on a VM that has not changed
     # Guards against work that waits for a change although a VM has had room all along.
     Given 1 VMs of 32 cores
     And job "full" of 1 task with 30 cores runs
@@ -28,14 +28,14 @@
     When a round has time for one job only
     And job "full" ends
     And rounds have time for one job only, 3 of them
-    Then 3 tasks run and the round was whole
+    Then 3 tasks run and the round was complete
 
-  Scenario: Starts leave no faster than the leader's link bears
-    # Guards against agents that lose the leader behind the starts of a burst.
+  Scenario: Starts are sent no faster than the leader's link allows
+    # Guards against a burst of starts that delays the leader's pings to its agents.
     Given 4 VMs of 32 cores whose leader may send 100000 bytes of starts a second
     And job "old" of 4 tasks with 1 cores runs
     And 5 jobs of 20 tasks with 1 cores wait
-    When each start is 1000 bytes long, and orders leave each 0.02 s
+    When each start is 1000 bytes long, and orders are sent each 0.02 s
     Then no 0.1 s carried more than 22000 bytes of starts
     And 104 tasks run within 1.5 s
 
@@ -45,11 +45,11 @@
     And job "old" of 4 tasks with 1 cores runs
     And 5 jobs of 20 tasks with 1 cores wait
     When a round is placed, and job "old" is cancelled while starts are held back
-    Then the 4 stops leave at once
+    Then the 4 stops are sent at once
 
   Scenario: A start that is held back is not sent after its job is cancelled
     # Guards against a cancelled job that starts when the link has room again.
     Given 4 VMs of 32 cores whose leader may send 100000 bytes of starts a second
     And 5 jobs of 20 tasks with 1 cores wait
     When a round is placed, and all jobs are cancelled while starts are held back
-    Then no start leaves after that, and nothing keeps its room
+    Then no start is sent after that, and no run keeps its room
--- a/features/scheduling/late_words.feature
+++ b/features/scheduling/late_words.feature
@@ -1,4 +1,4 @@
-Feature: What is lost or comes late between leader and agents
+Feature: Messages between leader and agents that are lost or late
 
   Scenario: The order that acknowledges an end is lost
     # Guards against an end that stays listed because its acknowledgement was lost.
@@ -22,58 +22,59 @@
     When two of its members fail in one run
     Then all its members run again
 
-  Scenario: A leader starts a task more often than numbers were set aside for it
+  Scenario: A leader starts a task more often than it has run numbers reserved
     # Guards against two runs of a task with one number after a change of leader.
     Given 2 VMs of 32 cores
     And job "w" of 1 serving task runs
     And this leader has started it 1000 times more
-    When its run ends, and a new leader hears of that
+    When its run ends, and a new leader gets a report of that
     Then no two runs of job "w" have one number
 
-  Scenario: A failure of an earlier run number counts beside a later one
-    # Guards against a task tried beyond its attempts when leaders reuse a run number.
+  Scenario: A failure counts although an earlier leader used a run number of this one
+    # Guards against a task run beyond its attempts when leaders reuse a run number.
     Given 2 VMs of 32 cores
     And job "a" of 1 task with 2 attempts, whose run 1001 has failed, as leader 1 stored
     When leader 2 restores it, and its run fails
     Then job "a" has ended as failed, and runs no more
 
-  Scenario: An acknowledged failure of a job that recurs, where the clock is behind
-    # Guards against an acknowledged failure that is forgotten when a clock is behind.
+  Scenario: An acknowledged failure of a recurring job counts when a leader's clock is behind
+    # Guards against a failure that is forgotten because its occurrence is not yet due.
     Given 1 VM of 32 cores
-    And job "t" of 2 attempts recurs, and its first task runs
+    And job "t" of 2 attempts is recurring, and its first task runs
     And its run has failed, and that was acknowledged
     When a leader whose clock is 10 s behind restores it
-    And 12 s pass with all agents in touch
-    And each run that goes on fails
+    And 12 s pass with all agents connected
+    And each run in progress fails
     Then job "t" has failed after 1 start
 
   Scenario: A worker has more ends than it lists at once
     # Guards against a finished task that runs again because a list of ends was full.
     Given 2 VMs of 32 cores
     And job "a" of 1 task runs
-    When its run succeeds, and its worker's list has no place for that end
+    When its run succeeds, and its worker's full list omits that end
     And some rounds have passed
     Then no second start is sent
-    When the list has a place for it
+    When the list includes that end
     And some rounds have passed
     Then job "a" has succeeded without another start
 
-  Scenario: An answer in which ends may have had no place
-    Then a list of 499 ends is taken for whole, and one of 500 is not
+  Scenario: A list of ends is complete only below its greatest length
+    # Guards against a finished task that runs again: a full list left its end out.
+    Then a list of 499 ends counts as complete, and one of 500 does not
 
-  Scenario: A worker that is lost had more ends than it lists at once
+  Scenario: A lost worker had more ends than it lists at once
     # Guards against a task that never runs again after a lost worker's list was full.
     Given an agent whose worker listens at its VM's address
     When the worker lists 500 ends and its port refuses 5 connections
-    Then its list counts as whole once its runs count as lost
+    Then its list counts as complete once its runs count as lost
 
-  Scenario: A worker begins anew, and its agent has no list of it yet
-    # Guards against a finished task that runs again: its end was acknowledged unread.
+  Scenario: A worker restarts, and its agent has no list of its runs yet
+    # Guards against a finished task that runs again: its end was acknowledged unseen.
     Given 1 VM of 32 cores
     And job "a" of 1 task runs
     And its run has succeeded, and that was acknowledged
     And job "b" of 1 task runs
-    When its worker begins anew, and the first report of that has no list
+    When its worker restarts, and the first report after that has no list
     And job "b" is cancelled
     And some rounds have passed
-    Then no end of the worker's new life was acknowledged
+    Then no end of the worker's new incarnation was acknowledged
--- a/features/scheduling/recovery.feature
+++ b/features/scheduling/recovery.feature
@@ -1,59 +1,63 @@
-Feature: A new leader, and agents that come and go
+Feature: Recovery after a change of leader or the loss of an agent or worker
 
   Scenario: A new leader waits for an agent that may still run a task
     # Guards against duplicate runs when a new leader has not heard from an agent yet.
     Given 2 VMs of 32 cores
     And job "a" of 1 task runs
-    When a new leader restores the book and hears only from the VM that runs nothing
+    When a new leader restores the jobs and gets only the report of the idle VM
     Then no task of job "a" is started
     When it has waited for as long as runs can go on without a leader
     Then job "a" is started again with a higher run
 
-  Scenario: A new leader takes on what runs
+  Scenario: A new leader adopts the runs in progress
+    # Guards against duplicate runs after a change of leader.
     Given 2 VMs of 32 cores
     And job "a" of 3 tasks runs
-    When a new leader restores the book and hears from all agents
+    When a new leader restores the jobs and gets the reports of all agents
     Then no task of job "a" is started
 
-  Scenario: Work of an agent out of touch starts elsewhere only when its leases lapsed
+  Scenario: Tasks of a disconnected agent start elsewhere only after their leases expire
+    # Guards against duplicate runs while a disconnected agent still runs a task.
     Given 2 VMs of 32 cores
     And job "a" of 1 task runs
-    When its agent is not heard of for 4 s
+    When its agent sends no report for 4 s
     Then no second start is sent
-    When its agent is not heard of for 2 s more
+    When its agent sends no report for 2 s more
     Then a second start with a higher run is sent
 
-  Scenario: A worker that was born anew runs nothing of before
+  Scenario: A restarted worker runs nothing from before its restart
+    # Guards against a task that never runs again after its worker crashed.
     Given 2 VMs of 32 cores
     And job "a" of 1 task runs
     When its worker crashes and comes back
     Then a second start with a higher run is sent
 
-  Scenario: An agent whose worker has left holds nobody up
+  Scenario: An agent whose worker has left delays no task
     # Guards against restored work that waits for an agent whose VM was removed.
     Given 2 VMs of 32 cores
     And job "a" of 1 task runs
     When its worker leaves for good
     Then a second start with a higher run is sent
-    And the agent may be struck from the store
+    And the agent may be removed from the store
 
   Scenario: An end listed before the change of leader counts
+    # Guards against a finished task that runs again: no leader stored its end.
     Given 1 VM of 32 cores
     And job "a" of 1 task runs
-    When it succeeds, and a new leader hears of it before the store does
+    When it succeeds, and a new leader gets that report before it is stored
     Then job "a" has succeeded without another start
 
-  Scenario: A new leader counts what still runs of a job that has ended
-    # Guards against a VM over its capacity when a cancelled job's runs still stop.
+  Scenario: A new leader counts the runs that remain of a job that has ended
+    # Guards against a VM over its capacity while a cancelled job's runs are stopping.
     Given 1 VM of 8 cores
     And job "a" of 2 tasks runs
-    When job "a" is cancelled, and a new leader comes before its stops are through
-    And job "b" of 2 tasks with 4 cores comes
+    When job "a" is cancelled, and a new leader comes before its runs have stopped
+    And job "b" of 2 tasks with 4 cores is submitted
     Then job "b" does not run
     When its runs are stopped
     Then job "b" runs
 
-  Scenario: An agent that came back without its worker holds nobody up
+  Scenario: An agent that restarts without its worker delays no task
     # Guards against a job shown as running for ever after its worker died.
     Given 2 VMs of 32 cores
     And job "a" of 1 task runs
@@ -66,59 +70,59 @@
     # Guards against a job that fails early because one failure is counted twice.
     Given 1 VM of 32 cores
     And job "a" of 1 task with 2 attempts
-    When its run fails, and a new leader restores that and hears of the end again
+    When its run fails, and a new leader restores that and gets the end again
     Then job "a" has not failed, and runs again
 
-  Scenario: A failure that was stored and is listed again is not held against its VM now
+  Scenario: A failure that was stored and is listed again does not count against its VM
     # Guards against a sound VM quarantined for old failures after a change of leader.
     Given 1 VM of 32 cores
     And job "a" of 1 task with 2 attempts
-    When its run fails, and a new leader restores that and hears of the end again
+    When its run fails, and a new leader restores that and gets the end again
     Then no failure counts against the VM
-    And the log tells that the failure was known
+    And the log says that the failure was known
 
-  Scenario: An earlier run's end that is listed again frees no task that runs
+  Scenario: An earlier run's end that is listed again does not requeue a running task
     # Guards against duplicate runs when the end of an earlier run is listed again.
     Given 2 VMs of 32 cores
     And job "w" of 1 serving task runs
-    And it ends well and runs again on the other VM
-    When a new leader hears of the later run first, and then of the earlier one's end
-    Then just one run of job "w" goes on, the later one
+    And it succeeds and runs again on the other VM
+    When a new leader learns of the later run first, and then of the earlier one's end
+    Then only the later run of job "w" continues
 
-  Scenario: An earlier run's end that is listed again sets no checkpoint back
-    # Guards against saved work done twice when an earlier run's end is listed again.
+  Scenario: An earlier run's end that is listed again does not revert a checkpoint
+    # Guards against repeated work when an earlier run's end is listed again.
     Given 2 VMs of 32 cores
     And job "a" of 1 checkpointable task runs
-    And it is stopped at checkpoint "third" and goes on, on the other VM
+    And it is stopped at checkpoint "third" and continues on the other VM
     When the later run has reached checkpoint "fifth"
-    And a new leader hears of the later run first, and then of the earlier one's end
+    And a new leader learns of the later run first, and then of the earlier one's end
     And the later run's worker crashes and comes back
-    Then job "a" goes on from checkpoint "fifth"
+    Then job "a" continues from checkpoint "fifth"
 
-  Scenario: An earlier run's end that is listed again sets no stored checkpoint back
+  Scenario: An earlier run's end that is listed again does not revert a stored checkpoint
     # Guards against a stored checkpoint that is replaced by that of an earlier run.
     Given 2 VMs of 32 cores
     And job "a" of 1 checkpointable task runs
-    And it is stopped at checkpoint "third" and goes on, on the other VM
+    And it is stopped at checkpoint "third" and continues on the other VM
     When the later run is stopped too, at checkpoint "fifth", and that is stored
-    And a new leader hears of the earlier run's end only
-    Then job "a" goes on from checkpoint "fifth"
+    And a new leader learns of the earlier run's end only
+    Then job "a" continues from checkpoint "fifth"
 
-  Scenario: A failure that is heard of late is held against the VM that it happened on
+  Scenario: A task does not run again on the VM of a failure that is reported late
     # Guards against a task retried on the VM that failed it when the end comes late.
     Given 2 VMs of 32 cores
     And job "a" of 1 task runs
     And it fails and runs again on the other VM
-    When a leader that finds nothing of that stored hears of the later run first
+    When a leader that finds nothing of that stored learns of the later run first
     And the later run's worker crashes and comes back
     Then it runs where it has not failed
 
-  Scenario: A failure that is stored and listed again is held against its VM
+  Scenario: A task does not run again on the VM of a failure that was stored and listed again
     # Guards against a task retried on the VM that failed it after a change of leader.
     Given 2 VMs of 32 cores
     And job "a" of 1 task runs
     And it fails and runs again on the other VM
-    When a new leader hears of the earlier run's end only
+    When a new leader learns of the earlier run's end only
     Then it runs where it has not failed
 
   Scenario: A new leader restores progress that an earlier version stored
@@ -130,38 +134,38 @@
     When its run fails, and is listed to the next leader again
     Then job "a" has failed after 1 start
 
-  Scenario: A failure of a job that recurs is not forgotten where the clock is behind
-    # Guards against a failure that is forgotten when the next leader's clock is behind.
+  Scenario: A recurring job's failure is kept when the next leader's clock is behind
+    # Guards against a failure forgotten because its occurrence is not due by that clock.
     Given 1 VM of 32 cores
-    And job "t" of 2 attempts recurs, and its first task runs
+    And job "t" of 2 attempts is recurring, and its first task runs
     And its run has failed
     When a leader whose clock is 10 s behind restores it
-    And 12 s pass with all agents in touch
-    And each run that goes on fails
+    And 12 s pass with all agents connected
+    And each run in progress fails
     Then job "t" has failed after 1 start
 
-  Scenario: A success of a job that recurs is not forgotten where the clock is behind
-    # Guards against a finished task that runs again when the leader's clock is behind.
+  Scenario: A recurring job's success is kept when the next leader's clock is behind
+    # Guards against a finished task that runs again once it is due by that clock.
     Given 1 VM of 32 cores
-    And job "t" of 2 attempts recurs, and its first task runs
+    And job "t" of 2 attempts is recurring, and its first task runs
     And its run has succeeded
     When a leader whose clock is 10 s behind finds nothing of that stored
-    And 12 s pass with all agents in touch
+    And 12 s pass with all agents connected
     Then the task that has succeeded is not started again
 
-  Scenario: A run of a job that recurs goes on where the clock is behind
-    # Guards against a sound run that is stopped when the next leader's clock is behind.
+  Scenario: A recurring job's run continues when the next leader's clock is behind
+    # Guards against a sound run that is stopped because it is not yet due by that clock.
     Given 1 VM of 32 cores
-    And job "t" of 2 attempts recurs, and its first task runs
+    And job "t" of 2 attempts is recurring, and its first task runs
     When a leader whose clock is 10 s behind finds nothing of that stored
-    Then job "t" runs on and is not started again
+    Then job "t" keeps running and is not started again
 
   Scenario: Each failure counts once, however often and in whatever order it is listed
     # Guards against jobs failed early or retried too often by repeated or late reports.
     Then in 300 random orders of listed ends each failure counts once
     And in 120 random histories of leaders no more failures count than there were
 
-  Scenario: An end that one leader hears of under two numbers counts once
+  Scenario: An end that is listed to one leader under two numbers counts once
     # Guards against a job that fails early because one end is listed under two numbers.
     Given 2 VMs of 32 cores
     And job "a" of 1 task with 2 attempts runs
--- a/features/steps/bursts_steps.py
+++ b/features/steps/bursts_steps.py
@@ -1,4 +1,4 @@
-"""Steps on bursts of wide jobs, and on rounds that are out of time."""
+"""Steps on bursts of wide jobs, and on placement rounds whose time is up."""
 
 import random
 from collections import Counter
@@ -83,13 +83,13 @@
         _round(context, lambda: False)
 
 
-@then("{count:d} tasks run and the round was not whole")
+@then("{count:d} tasks run and the round was cut short")
 def step_running_not_whole(context, count):
     assert _running(context) == count
     assert not context.whole
 
 
-@then("{count:d} tasks run and the round was whole")
+@then("{count:d} tasks run and the round was complete")
 def step_running_whole(context, count):
     assert _running(context) == count
     assert context.whole
@@ -108,7 +108,7 @@
 
 
 def _fleet(chance):
-    """Return VMs that are partly used, and the tasks of a step that wait."""
+    """Return VMs that are partly used, and the waiting tasks of a step."""
     vms = [_vm(chance, number) for number in range(chance.randint(1, 12))]
     more = {
         "max_per_vm": chance.choice((0, 0, 1, 2)),
@@ -205,7 +205,7 @@
 
 
 def _send(context):
-    """Let orders leave and be carried out; return them."""
+    """Send orders and let the workers carry them out; return the orders."""
     world = context.world
     sent = world.scheduler.orders(now=world.now)
     for vm, orders in sent:
@@ -213,7 +213,7 @@
     return [orders for _, orders in sent]
 
 
-@when("each start is {size:d} bytes long, and orders leave each {pause:g} s")
+@when("each start is {size:d} bytes long, and orders are sent each {pause:g} s")
 def step_leave(context, size, pause):
     assert size == START_BYTES
     world = context.world
@@ -261,7 +261,7 @@
     assert world.scheduler.holds_starts
 
 
-@then("the {count:d} stops leave at once")
+@then("the {count:d} stops are sent at once")
 def step_stops(context, count):
     stops = [key for orders in context.orders for key in orders.stops]
     assert len(stops) == count, stops
@@ -276,7 +276,7 @@
         world.scheduler.cancel(job, now=world.now, wall_now=world.wall_now)
 
 
-@then("no start leaves after that, and nothing keeps its room")
+@then("no start is sent after that, and no run keeps its room")
 def step_nothing_left(context):
     world = context.world
     for _ in range(10):
--- a/features/steps/checkpoint_delta_steps.py
+++ b/features/steps/checkpoint_delta_steps.py
@@ -108,7 +108,7 @@
     " with {size:d} bytes"
 )
 def step_new_life(context, count, how, size):
-    context.worker.reborn()
+    context.worker.restart()
     for key in context.keys[:count]:
         context.worker.running[key] = key
         context.worker.end(key, RunEnd(how), "x" * size)
--- a/features/steps/ended_runs_fuzz.py
+++ b/features/steps/ended_runs_fuzz.py
@@ -1,4 +1,4 @@
-"""Ends listed again and again, to one leader after the other, against what is true."""
+"""Random orders of ends that are listed to successive leaders, against an oracle."""
 
 from collections import defaultdict
 from typing import NamedTuple
@@ -37,11 +37,11 @@
     min_size=30,
     max_size=120,
 )
-"""Failures, records and changes of leader, with little between them."""
+"""Mostly failures, stored records and changes of leader."""
 
 
 class End(NamedTuple):
-    """One run's end, as its worker lists it until it is acknowledged."""
+    """The end of a run, as its worker lists it until it is acknowledged."""
 
     run: RunKey
     how: RunEnd
@@ -51,7 +51,7 @@
 
 @st.composite
 def task_histories(draw, position: int) -> list[End]:
-    """Draw what became of the runs of one task: none follows the last that may."""
+    """Draw the ends of one task's runs; none follows a success or the last attempt."""
     ends: list[End] = []
     failures = 0
     hows = [RunEnd.FAILED, RunEnd.STOPPED, RunEnd.LAPSED, RunEnd.SUCCEEDED]
@@ -68,7 +68,7 @@
 
 @st.composite
 def listings(draw) -> tuple[list[End], list[tuple[str, int]]]:
-    """Draw all ends of a job, and in which order leaders come, hear and store."""
+    """Draw all ends of a job, and the order of reports, records and leaders."""
     ends = [end for position in range(TASKS) for end in draw(task_histories(position))]
     hear = st.tuples(st.just("hear"), st.integers(0, max(0, len(ends) - 1)))
     changes = st.tuples(st.sampled_from(CHANGES), st.just(0))
@@ -76,18 +76,18 @@
 
 
 class Listening:
-    """One job's book at one leader after the other, and the record in the store."""
+    """One job at successive leaders, and its record in the store."""
 
     def __init__(self, ends: list[End]) -> None:
-        """Begin with a leader that has heard nothing."""
+        """Start with a leader that has received no end."""
         self.ends = ends
         self.listed = set(ends)
-        """Those that their workers have not been told to forget."""
+        """Ends that are not acknowledged yet."""
         self.stored: bytes | None = None
         self.lead()
 
     def lead(self) -> None:
-        """Replace the leader by one that knows what is stored."""
+        """Replace the leader by one that restores the stored record."""
         record = decode(self.stored, JobRecord) if self.stored else None
         self.book = JobTable()
         self.heard: set[End] = set()
@@ -115,31 +115,31 @@
         self.durable = set(self.heard)
 
     def acknowledge(self) -> None:
-        """Let the workers forget the ends that are stored."""
+        """Acknowledge the ends that are stored; their workers list them no more."""
         self.listed -= self.durable
 
     def of(self, key: TaskKey) -> list[End]:
-        """Return the true ends of a task."""
+        """Return all ends of a task, as the oracle knows them."""
         return [end for end in self.ends if end.run.task == key]
 
     def failures(self, key: TaskKey) -> set[int]:
-        """Return the runs of a task that truly failed."""
+        """Return the runs of a task that failed, as the oracle knows them."""
         return {end.run.run for end in self.of(key) if end.how is RunEnd.FAILED}
 
     def check(self) -> None:
-        """Assert that no more is counted than is true."""
+        """Assert that no failure is counted that did not happen."""
         for task in self.entry.tasks():
             assert task.failed_runs <= self.failures(task.key), task.failed_runs
         if self.entry.state is JobState.FAILED:
             assert self.worn_out(), "shown as failed, and no task failed so often"
 
     def worn_out(self) -> bool:
-        """Tell whether some task truly failed as often as its queue allows."""
+        """Return whether some task has failed as often as its queue allows."""
         keys = [TaskKey(JOB, 0, 0, position) for position in range(TASKS)]
         return any(len(self.failures(key)) >= ATTEMPTS for key in keys)
 
     def check_all_heard(self) -> None:
-        """Assert that what is known is the truth, however it was told."""
+        """Assert that the job's state is right once all ends were reported."""
         assert self.worn_out() == (self.entry.state is JobState.FAILED)
         if self.entry.state.final:
             return
@@ -177,29 +177,29 @@
 
 
 class CountedHistory(History):
-    """A random history of whole leaders, agents and workers that counts failures."""
+    """A random history of leaders, agents and workers that counts failures."""
 
     def __init__(self) -> None:
-        """Begin with no failure."""
+        """Start without failures."""
         super().__init__()
         self.failed_by_task: dict[TaskKey, set[int]] = defaultdict(set)
 
     def do_submit(self, number: int) -> None:
-        """Hand in a job whose queue allows few failures."""
+        """Submit a job whose queue allows few failures."""
         self.jobs += 1
         step = plain(1 + number % 4, cores=1 + number % 7)
         attempts = 1 + number % ATTEMPTS
         self.world.submit(make_job(f"j{self.jobs}", step, attempts=attempts))
 
     def do_fail(self, number: int) -> None:
-        """Let one run fail, and remember it."""
+        """Let one run fail and record that."""
         if runs := self.runs():
             worker, key = runs[number % len(runs)]
             self.failed_by_task[key.task].add(key.run)
             worker.end(key, RunEnd.FAILED)
 
     def check(self) -> None:
-        """Assert besides that no more failures are counted than there were."""
+        """Also assert that no more failures are counted than there were."""
         super().check()
         for entry in self.world.scheduler.book.entry_by_id.values():
             for task in entry.tasks():
@@ -225,7 +225,7 @@
 
 
 def run_random_listings(count: int) -> None:
-    """Play `count` random orders in which ends are heard, the same ones each time."""
+    """Play `count` random orders of listed ends, the same ones each time."""
 
     @_settings(count)
     @given(listings(), st.randoms(use_true_random=False))
--- a/features/steps/ended_runs_steps.py
+++ b/features/steps/ended_runs_steps.py
@@ -1,4 +1,4 @@
-"""Steps on ends that are listed again, late or out of order, to a new leader."""
+"""Steps on ends that are listed to a new leader again, late or out of order."""
 
 import msgspec
 from behave import given, then, when
@@ -24,13 +24,13 @@
 
 
 def _records(world):
-    """Return what the leader would store now, with the jobs."""
+    """Return the jobs with the records that the leader would store now."""
     book = world.scheduler.book
     return [(entry.job, record_of(entry)) for entry in book.entry_by_id.values()]
 
 
 def _restart_leader(context, stored=None):
-    """Replace the leader by one that knows what the old one would have stored."""
+    """Replace the leader by one that restores the old one's records."""
     world = context.world
     stored = stored or _records(world)
     context.epoch = getattr(context, "epoch", 1) + 1
@@ -47,7 +47,7 @@
 
 
 def _place_of(context):
-    """Return the only run of the scenario's job, and the worker that it is at."""
+    """Return the only run of the scenario's job, with its worker."""
     places = [
         (worker, key)
         for worker in context.world.worker_by_node.values()
@@ -62,7 +62,7 @@
 def _run_elsewhere(context, how, checkpoint=""):
     """End the only run, and let the next one start on the other VM.
 
-    The first VM never hears that its end was taken in, and lists it on.
+    The first VM gets no acknowledgement of the end, and continues to list it.
     """
     world = context.world
     context.stored_before = _records(world)
@@ -120,7 +120,7 @@
         worker.end(key, how)
         _rounds(context.world, 2)
     worker, _ = _place_of(context)
-    worker.reborn()
+    worker.restart()
 
 
 @when("a start of it is refused")
@@ -137,7 +137,7 @@
     _rounds(world, 2)
 
 
-@given("it ends well and runs again on the other VM")
+@given("it succeeds and runs again on the other VM")
 def step_ends_well(context):
     _run_elsewhere(context, RunEnd.SUCCEEDED)
 
@@ -147,20 +147,20 @@
     _run_elsewhere(context, RunEnd.FAILED)
 
 
-@given('it is stopped at checkpoint "{checkpoint}" and goes on, on the other VM')
+@given('it is stopped at checkpoint "{checkpoint}" and continues on the other VM')
 def step_goes_on(context, checkpoint):
     _run_elsewhere(context, RunEnd.STOPPED, checkpoint)
     second = context.second.running[context.second_key]
     assert second.checkpoint == checkpoint, second
 
 
-@when("a new leader hears of the later run first, and then of the earlier one's end")
+@when("a new leader learns of the later run first, and then of the earlier one's end")
 def step_later_first(context):
     _restart_leader(context)
     _hear_second_first(context)
 
 
-@when("a leader that finds nothing of that stored hears of the later run first")
+@when("a leader that finds nothing of that stored learns of the later run first")
 def step_nothing_stored(context):
     _restart_leader(context, context.stored_before)
     _hear_second_first(context)
@@ -179,17 +179,17 @@
     world.commit()
 
 
-@when("a new leader hears of the earlier run's end only")
+@when("a new leader learns of the earlier run's end only")
 def step_earlier_only(context):
     _restart_leader(context)
-    context.second.reborn()
+    context.second.restart()
     context.world.report(context.first)
     context.world.report(context.second)
 
 
 @when("the later run's worker crashes and comes back")
 def step_later_crashes(context):
-    context.second.reborn()
+    context.second.restart()
     _rounds(context.world, 2)
 
 
@@ -197,7 +197,7 @@
 def step_other_number(context):
     world = context.world
     worker, key = context.first, context.first_key
-    # Its agent was killed meanwhile, and counts this end as the next one.
+    # Its agent was restarted meanwhile and gives this end the next number.
     worker.ends += 1
     (ended,) = worker.ended
     worker.ended = [type(ended)(worker.ends, key, ended.how, ended.checkpoint)]
@@ -205,19 +205,19 @@
     world.report(worker)
 
 
-@when("{seconds:d} s pass with all agents in touch")
+@when("{seconds:d} s pass with all agents connected")
 def step_seconds_in_touch(context, seconds):
     _rounds(context.world, round(seconds / REPORT_SECONDS))
 
 
-@then('just one run of job "{name}" goes on, the later one')
+@then('only the later run of job "{name}" continues')
 def step_just_one(context, name):
     _rounds(context.world, 5)
     worker, key = _place_of(context)
     assert (worker, key) == (context.second, context.second_key), (worker, key)
 
 
-@then('job "{name}" goes on from checkpoint "{checkpoint}"')
+@then('job "{name}" continues from checkpoint "{checkpoint}"')
 def step_from_checkpoint(context, name, checkpoint):
     _rounds(context.world, 2)
     worker, key = _place_of(context)
@@ -233,15 +233,12 @@
     assert worker is not context.first, worker.node
 
 
-@then("the log tells that the failure was known")
+@then("the log says that the failure was known")
 def step_log_known(context):
     events = [note.event.value for note in context.world.scheduler.take_notes()]
     assert events.count("Failure was known") == 1, events
 
 
-# ---- what was stored
-
-
 @given(
     'a stored job "{name}" of {count:d} task with {attempts:d} attempts,'
     " of which an earlier version counted {failures:d}"
@@ -277,10 +274,7 @@
     _restart_leader(context)
 
 
-# ---- clocks that are behind
-
-
-@given('job "{name}" of {attempts:d} attempts recurs, and its first task runs')
+@given('job "{name}" of {attempts:d} attempts is recurring, and its first task runs')
 def step_recurring(context, name, attempts):
     world = context.world
     context.job = name
@@ -325,19 +319,19 @@
 
 
 def _clock_behind(context, seconds, stored):
-    # The world has one clock: what counts is that it stands before the due time.
+    # The world has only one clock; it is set back to before the due time.
     context.world.now -= seconds
     _restart_leader(context, stored)
     context.world.starts.clear()
 
 
-@when("each run that goes on fails")
+@when("each run in progress fails")
 def step_each_run_fails(context):
     context.world.end_all(RunEnd.FAILED)
     context.world.round()
 
 
-@then('job "{name}" runs on and is not started again')
+@then('job "{name}" keeps running and is not started again')
 def step_runs_on(context, name):
     _rounds(context.world, 5)
     assert _place_of(context) == (context.second, context.second_key)
@@ -348,9 +342,6 @@
     assert not context.world.starts, context.world.starts
 
 
-# ---- at random
-
-
 @then("in {count:d} random orders of listed ends each failure counts once")
 def step_random_listings(context, count):
     run_random_listings(count)
--- a/features/steps/interference_steps.py
+++ b/features/steps/interference_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what is learnt of images that share VMs: the estimates alone."""
+"""Steps on the interference model alone."""
 
 import math
 import random
@@ -14,7 +14,7 @@
 JOBS = ("watch-a", "watch-b")
 VMS = 4
 SHARE = 0.12
-"""Of a VM's cores that one filling run uses."""
+"""Share of a VM's cores that one filling run uses."""
 HEAVY = 2.0
 """Utilization that a VM full of the heavy image adds."""
 
@@ -25,9 +25,7 @@
     return MEAN_UTILIZATION * (1 + swing)
 
 
-@given(
-    "two serving jobs on 4 VMs, with loads that swing in 10 s, each in its own phase"
-)
+@given("two serving jobs on 4 VMs, with loads that vary in 10 s, each in its own phase")
 def step_swinging_jobs(context):
     context.learnt = Interference()
     context.random = random.Random(7)
@@ -69,7 +67,7 @@
         _report(context, running)
 
 
-@then("each filling image is known, and only the one counts as adding much")
+@then("the estimate of each filling image is known, and only the one adds much")
 def step_told_apart(context):
     for job in JOBS:
         for image in context.added_by_image:
--- a/features/steps/late_words_steps.py
+++ b/features/steps/late_words_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what is lost, or comes late, between leader and agents."""
+"""Steps on messages between leader and agents that are lost or late."""
 
 from behave import given, then, when
 
@@ -31,9 +31,6 @@
     ]
 
 
-# ---- acknowledgements
-
-
 @when(
     "it succeeds, and the orders that acknowledge that are lost with their connection"
 )
@@ -55,9 +52,6 @@
     assert not listed, listed
 
 
-# ---- gangs
-
-
 @given('a gang "{name}" of {count:d} tasks with {attempts:d} attempts')
 def step_gang_attempts(context, name, count, attempts):
     context.job = name
@@ -100,12 +94,9 @@
     assert len(_members(context.world, context.job)) == context.count
 
 
-# ---- run numbers
-
-
 @given("this leader has started it {count:d} times more")
 def step_started_often(context, count):
-    # Such runs failed at once: each took a number and changed nothing else.
+    # Those runs are assumed to fail at once: each only uses up a number.
     world = context.world
     (worker, key), *_ = _members(world, context.job)
     world.scheduler.book.find_task(key.task).highest_run = count
@@ -115,13 +106,13 @@
     assert key.run == count + 1, key
 
 
-@when("its run ends, and a new leader hears of that")
+@when("its run ends, and a new leader gets a report of that")
 def step_ends_at_change(context):
     world = context.world
     ((worker, key),) = _members(world, context.job)
     worker.end(key, RunEnd.FAILED)
     context.execute_steps(
-        "When a new leader restores the book and hears from all agents"
+        "When a new leader restores the jobs and gets the reports of all agents"
     )
     _rounds(world)
 
@@ -154,9 +145,6 @@
     _rounds(world)
 
 
-# ---- occurrences
-
-
 @given("its run has failed, and that was acknowledged")
 def step_failed_acknowledged(context):
     world = context.world
@@ -169,10 +157,7 @@
     assert RunKey(key, context.second_key.run).run in task.failed_runs
 
 
-# ---- lists that are cut
-
-
-@when("its run succeeds, and its worker's list has no place for that end")
+@when("its run succeeds, and its worker's full list omits that end")
 def step_no_place(context):
     worker = context.world.worker_by_node[context.node]
     for key in list(worker.running):
@@ -181,7 +166,7 @@
     worker.ends_whole = False
 
 
-@when("the list has a place for it")
+@when("the list includes that end")
 def step_place(context):
     worker = context.world.worker_by_node[context.node]
     worker.ended = context.left_out
@@ -194,7 +179,7 @@
     ]
 
 
-@then("a list of {most:d} ends is taken for whole, and one of {more:d} is not")
+@then("a list of {most:d} ends counts as complete, and one of {more:d} does not")
 def step_whole(context, most, more):
     for count, is_whole in ((most, True), (more, False)):
         body = {"clockMs": 1000, "running": [], "finished": _end_rows(count)}
@@ -210,16 +195,13 @@
     world.refuse(refused)
 
 
-@then("its list counts as whole once its runs count as lost")
+@then("its list counts as complete once its runs count as lost")
 def step_whole_again(context):
     world = context.hosting_world
     world.until(lambda: not world.hosting.running)
     assert world.hosting.ends_whole
 
 
-# ---- a worker's next life
-
-
 @given("its run has succeeded, and that was acknowledged")
 def step_succeeded_acknowledged(context):
     world = context.world
@@ -229,10 +211,10 @@
     assert worker.acknowledged == 1, worker
 
 
-@when("its worker begins anew, and the first report of that has no list")
+@when("its worker restarts, and the first report after that has no list")
 def step_begins_unlisted(context):
     (worker,) = context.world.worker_by_node.values()
-    worker.reborn()
+    worker.restart()
     worker.unlisted = True
 
 
@@ -242,7 +224,7 @@
     world.scheduler.cancel(name, now=world.now, wall_now=world.wall_now)
 
 
-@then("no end of the worker's new life was acknowledged")
+@then("no end of the worker's new incarnation was acknowledged")
 def step_none_acknowledged(context):
     (worker,) = context.world.worker_by_node.values()
     assert worker.acknowledged == 0, worker.acknowledged
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -1,4 +1,4 @@
-"""Steps on VMs that fail all they start: the scheduler alone."""
+"""Steps on VMs on which every run fails, with the scheduler alone."""
 
 from behave import given, then, when
 
@@ -33,13 +33,13 @@
     context.starts_before = len(world.starts)
 
 
-@when("the first VM fails all it starts, and {seconds:d} s pass")
+@when("every run on the first VM fails, and {seconds:d} s pass")
 def step_first_fails(context, seconds):
     _fail_on(context.world, [FIRST])
     _pass(context.world, seconds, failing=[FIRST])
 
 
-@when("{seconds:d} s pass in which it fails nothing")
+@when("{seconds:d} s pass in which no run there fails")
 def step_fails_nothing(context, seconds):
     _pass(context.world, seconds)
 
@@ -58,7 +58,7 @@
     assert started <= count, started
 
 
-@when("the tasks elsewhere succeed, and {seconds:d} s pass")
+@when("the tasks on the other VMs succeed, and {seconds:d} s pass")
 def step_elsewhere(context, seconds):
     world = context.world
     for node, worker in world.worker_by_node.items():
@@ -68,7 +68,7 @@
     _pass(world, seconds, failing=[FIRST])
 
 
-@then('job "{name}" runs away from the first VM')
+@then('job "{name}" runs on other VMs than the first')
 def step_away_from_first(context, name):
     nodes = context.world.running_nodes(name)
     assert nodes and FIRST not in nodes, nodes
@@ -90,8 +90,8 @@
 
 
 @when(
-    "on {count:d} VMs everything fails, and "
-    'job "{name}" of {tasks:d} filling tasks comes'
+    "on {count:d} VMs every run fails, and "
+    'job "{name}" of {tasks:d} filling tasks is submitted'
 )
 def step_many_fail(context, count, name, tasks):
     world = context.world
--- a/features/steps/scheduling_fuzz.py
+++ b/features/steps/scheduling_fuzz.py
@@ -1,4 +1,4 @@
-"""Random histories of a scheduler against an oracle that knows what really runs."""
+"""Random histories of a scheduler, checked by an oracle that knows what runs."""
 
 from collections import Counter
 
@@ -54,10 +54,10 @@
 
 
 class History:
-    """A world in which messages can be held back, and the oracle's own knowledge."""
+    """A world in which messages can be held back, with the oracle's knowledge."""
 
     def __init__(self) -> None:
-        """Begin with idle workers, all in touch."""
+        """Start with idle workers whose agents are all connected."""
         workers = [SimulatedWorker(f"vm-{n}", cores=CORES) for n in range(WORKERS)]
         self.world = SchedulingWorld(workers)
         self.nodes = [worker.node for worker in workers]
@@ -70,13 +70,13 @@
         self.cancelled: set = set()
 
     def step(self, name: str, number: int) -> None:
-        """Carry out one operation and check what must always hold."""
+        """Carry out one operation and check the invariants."""
         getattr(self, f"do_{name}")(number)
         self.lapse()
         self.check()
 
     def do_submit(self, number: int) -> None:
-        """Hand in a job of one of several shapes."""
+        """Submit a job of one of several shapes."""
         self.jobs += 1
         shapes = [
             (plain(1 + number % 4, cores=1 + number % 7),),
@@ -88,7 +88,7 @@
         self.world.submit(make_job(f"j{self.jobs}", *shapes[number % len(shapes)]))
 
     def do_round(self, number: int) -> None:
-        """Report, decide and deliver for the agents that are in touch."""
+        """Report, decide and deliver for all agents that are not cut off."""
         for node in self.nodes:
             self.report(node)
         self.do_decide(number)
@@ -101,19 +101,19 @@
             self.world.report(self.world.worker_by_node[node])
 
     def do_report(self, number: int) -> None:
-        """Deliver one agent's report."""
+        """Deliver one agent's report, unless it is cut off."""
         self.report(self.nodes[number % WORKERS])
 
     def do_decide(self, number: int) -> None:
-        """Decide; what is sent stays on its way."""
+        """Run a placement round; the orders sent are held back."""
         decided = self.world.decide()
-        self.check_nothing_left_out()
+        self.check_no_room_missed()
         for node, orders in decided:
             session = self.world.worker_by_node[node].session
             self.held.append((node, session, self.epoch, orders))
 
     def do_deliver(self, number: int) -> None:
-        """Deliver what is on its way; a broken connection or an old epoch loses it."""
+        """Deliver held orders, unless their connection or epoch has ended."""
         held, self.held = self.held, []
         for node, session, epoch, orders in held:
             worker = self.world.worker_by_node[node]
@@ -126,7 +126,7 @@
                 worker.orders_taken = orders.number
 
     def runs(self) -> list:
-        """Return all that runs, as pairs of worker and run key."""
+        """Return all runs in progress, as pairs of worker and run key."""
         return [
             (worker, key)
             for worker in self.world.worker_by_node.values()
@@ -153,11 +153,11 @@
             world.scheduler.cancel(job, now=world.now, wall_now=world.wall_now)
 
     def do_crash(self, number: int) -> None:
-        """Let a worker crash and come back with nothing."""
-        self.world.worker_by_node[self.nodes[number % WORKERS]].reborn()
+        """Let a worker crash and restart without runs."""
+        self.world.worker_by_node[self.nodes[number % WORKERS]].restart()
 
     def do_lose(self, number: int) -> None:
-        """Break a connection: what is on its way is lost, a new one follows."""
+        """Replace a connection by a new one; held messages of the old one are lost."""
         worker = self.world.worker_by_node[self.nodes[number % WORKERS]]
         worker.session += 1
         self.world.scheduler.lost_touch(worker.node)
@@ -169,11 +169,11 @@
         self.do_lose(number)
 
     def do_return(self, number: int) -> None:
-        """End all cuts."""
+        """Reconnect all agents that are cut off."""
         self.cut.clear()
 
     def lapse(self) -> None:
-        """Kill what runs at workers whose agent has been away for the horizon."""
+        """End the runs of workers whose agent was cut off until the leases expired."""
         for node, since in self.cut.items():
             if self.world.now - since >= HORIZON:
                 worker = self.world.worker_by_node[node]
@@ -181,7 +181,7 @@
                     worker.end(key, RunEnd.LAPSED)
 
     def do_leader(self, number: int) -> None:
-        """Replace the leader by one that knows what is durable."""
+        """Replace the leader by one that restores the stored records."""
         world = self.world
         self.held.clear()
         self.epoch += 1
@@ -205,14 +205,14 @@
         self.world.commit()
 
     def do_wait(self, number: int) -> None:
-        """Let time pass, with reports of those in touch meanwhile."""
+        """Let time pass, with reports of the agents that are not cut off."""
         for _ in range(4):
             self.world.now += 0.3
             for node in self.nodes:
                 self.report(node)
 
     def check(self) -> None:
-        """Assert that no task runs twice and no VM is over its room."""
+        """Assert that no task runs twice and no VM is over its capacity."""
         seen: dict = {}
         for _, key in self.runs():
             assert key.task not in seen, f"{key} and {seen[key.task]} run at once"
@@ -226,11 +226,11 @@
                 self.check_order(key, book)
             assert cores <= CORES + 1e-6, f"{worker.node} runs {cores} cores"
 
-    def check_nothing_left_out(self) -> None:
-        """Assert that no task waits although a look at every VM finds room for it.
+    def check_no_room_missed(self) -> None:
+        """Assert that no task waits although a search of all VMs finds room for it.
 
-        A round looks only at what has changed since a step was last tried. Filling
-        tasks are left out: whether they are let in also changes with time alone.
+        A round searches only VMs that have changed since the step's last search.
+        Filling tasks are left out: their admission also changes with time alone.
         """
         scheduler = self.world.scheduler
         usable = [vm for vm in scheduler.vm_by_node.values() if vm.is_usable]
--- a/features/steps/scheduling_steps.py
+++ b/features/steps/scheduling_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the scheduler alone: no process, no network, no real time."""
+"""Steps on the scheduler alone, without processes, network or real time."""
 
 from behave import given, then, when
 
@@ -75,9 +75,9 @@
     _submit(context, name, plain(count, cores=cores, gang=True))
 
 
-@given('job "{name}" of {count:d} task is placed all the same')
+@given('job "{name}" of {count:d} task is placed nevertheless')
 def step_placed_anyway(context, name, count):
-    # The start was decided just before the connection was found broken.
+    # The start is decided just before the connection is found to be broken.
     vm = context.world.scheduler.vm_by_node["vm-1"]
     vm.present = True
     _submit(context, name, plain(count))
@@ -87,7 +87,7 @@
     vm.present = False
 
 
-@given("the agent goes out of touch")
+@given("the agent is disconnected")
 def step_out_of_touch(context):
     context.world.scheduler.lost_touch("vm-1")
 
@@ -209,7 +209,7 @@
     assert context.world.running_nodes(name), context.world.starts
 
 
-@when("its start is sent and a report from before arrives")
+@when("its start is sent and an earlier report arrives")
 def step_old_report(context):
     world = context.world
     early = [(worker, worker.report()) for worker in world.worker_by_node.values()]
@@ -244,7 +244,7 @@
     assert runs[-1] > max(runs[: context.starts_before]), runs
 
 
-@when('job "{name}" is cancelled and the agent is back in touch')
+@when('job "{name}" is cancelled and the agent reconnects')
 def step_cancel_back(context, name):
     world = context.world
     world.scheduler.cancel(name, now=world.now, wall_now=world.wall_now)
@@ -286,7 +286,7 @@
     assert len(context.world.running_nodes(context.job)) == count
 
 
-@when("it succeeds while the store is away")
+@when("it succeeds while the store is unavailable")
 def step_succeeds_no_store(context):
     context.world.round(commit=False)
     context.world.end_all()
@@ -334,14 +334,14 @@
     assert workers["vm-2"].running and not workers["vm-1"].running
 
 
-@when("a second VM of {cores:d} cores comes")
+@when("another VM of {cores:d} cores comes")
 def step_second_vm(context, cores):
     context.world.worker_by_node["vm-2"] = SimulatedWorker("vm-2", cores=cores)
     context.world.round()
     context.world.round()
 
 
-@then("all {count:d} members run under one number")
+@then("all {count:d} members run under one run number")
 def step_members(context, count):
     runs = {key.run for _, key in context.world.starts}
     assert len(context.world.running_nodes("g")) == count and len(runs) == 1, runs
@@ -352,16 +352,13 @@
     assert len(context.world.starts) == count, context.world.starts
 
 
-@then("{count:d} random histories keep to the rules")
+@then("{count:d} random histories violate no invariant")
 def step_histories(context, count):
     run_random_histories(count)
 
 
-# ---- recovery
-
-
 def _restored(context):
-    """Return a new leader's world that knows what the store would tell it."""
+    """Replace the leader by one that restores the stored records; return the world."""
     world = context.world
     book = world.scheduler.book
     records = [(entry.job, record_of(entry)) for entry in book.entry_by_id.values()]
@@ -374,7 +371,7 @@
     return world
 
 
-@when("a new leader restores the book and hears only from the VM that runs nothing")
+@when("a new leader restores the jobs and gets only the report of the idle VM")
 def step_new_leader_partly(context):
     world = _restored(context)
     for node, worker in world.worker_by_node.items():
@@ -382,7 +379,7 @@
             world.report(worker)
 
 
-@when("a new leader restores the book and hears from all agents")
+@when("a new leader restores the jobs and gets the reports of all agents")
 def step_new_leader(context):
     world = _restored(context)
     for worker in world.worker_by_node.values():
@@ -409,8 +406,8 @@
     step_second_start(context)
 
 
-@when("its agent is not heard of for {seconds:d} s")
-@when("its agent is not heard of for {seconds:d} s more")
+@when("its agent sends no report for {seconds:d} s")
+@when("its agent sends no report for {seconds:d} s more")
 def step_not_heard(context, seconds):
     world = context.world
     world.scheduler.lost_touch(context.node)
@@ -424,7 +421,7 @@
 @when("its worker crashes and comes back")
 def step_crashes(context):
     worker = context.world.worker_by_node[context.node]
-    worker.reborn()
+    worker.restart()
     context.world.report(worker)
 
 
@@ -435,13 +432,13 @@
     context.world.report(worker)
 
 
-@then("the agent may be struck from the store")
+@then("the agent may be removed from the store")
 def step_struck(context):
     idle = [vm.node for vm in context.world.scheduler.idle_absent()]
     assert idle == [context.node], idle
 
 
-@when("it succeeds, and a new leader hears of it before the store does")
+@when("it succeeds, and a new leader gets that report before it is stored")
 def step_succeeds_new_leader(context):
     context.world.end_all()
     step_new_leader(context)
@@ -454,9 +451,6 @@
     step_no_second(context)
 
 
-# ---- order
-
-
 @given("{count:d} jobs of priority {priority:d} wait for room")
 def step_many_wait(context, count, priority):
     for number in range(count):
@@ -476,7 +470,7 @@
     context.world.round()
 
 
-@given('job "{name}" of {count:d} task that was handed in {seconds:d} s ago')
+@given('job "{name}" of {count:d} task that was submitted {seconds:d} s ago')
 def step_job_aged(context, name, count, seconds):
     accepted = context.world.wall_now - seconds
     _submit(context, name, plain(count), accepted_at=accepted)
@@ -497,14 +491,14 @@
     world.round()
 
 
-@when('job "{name}" is cancelled, and a new leader comes before its stops are through')
+@when('job "{name}" is cancelled, and a new leader comes before its runs have stopped')
 def step_cancel_new_leader(context, name):
     world = context.world
     world.scheduler.cancel(name, now=world.now, wall_now=world.wall_now)
     step_new_leader(context)
 
 
-@when('job "{name}" of {count:d} tasks with {cores:d} cores comes')
+@when('job "{name}" of {count:d} tasks with {cores:d} cores is submitted')
 def step_cores_comes(context, name, count, cores):
     _submit(context, name, plain(count, cores=cores))
     context.held = context.world.decide()
@@ -516,7 +510,7 @@
     context.world.round()
 
 
-@when('job "{name}" of {count:d} tasks comes')
+@when('job "{name}" of {count:d} tasks is submitted')
 def step_comes(context, name, count):
     step_job(context, name, count)
     context.world.round()
@@ -533,10 +527,10 @@
 
 
 def _in_time(count, times, *, by_rank):
-    """Play jobs of 1 to 16 one-second tasks on 8 slots; count those in time.
+    """Simulate jobs of 1 to 16 one-second tasks on 8 slots; count those in time.
 
-    The objective is stretch 2 times one second, and 1 s more; arrivals are evenly
-    spread over the time in which the room could do `1 / times` of the work.
+    The objective is 3 s: twice the one second of a task, and 1 s more. Arrivals are
+    evenly spread over the time in which the slots can do `1 / times` of the work.
     """
     sizes = [1 + (number * 7) % 16 for number in range(count)]
     span = sum(sizes) / 8 / times
@@ -548,8 +542,8 @@
     for _ in range(200):
         while left and left[0][0] <= world.now:
             at, size, number = left.pop(0)
-            # In order of arrival, each job is a queue of its own that goes before
-            # all later ones.
+            # For the order of arrival, each job has a priority of its own that goes
+            # before all later ones.
             priority = 0 if by_rank else number
             world.submit(
                 make_job(
@@ -570,7 +564,7 @@
     return done
 
 
-@given("a lasting job and a short one come at once")
+@given("a long-running job and a short one are submitted together")
 def step_lasting_and_short(context):
     context.world.submit(make_job("lasting", serving(2, cores=6.0)))
     context.world.submit(make_job("short", plain(1, cores=4.0)))
@@ -584,7 +578,8 @@
 
 @when("tasks on the first VM make no progress for {seconds:d} s")
 def step_no_progress(context, seconds):
-    # Pretended workers always report the same percent: only the first one has work.
+    # Simulated workers always report the same percentage, so these tasks make no
+    # progress. The second VM is draining, so that all of them run on the first.
     world = context.world
     workers = world.worker_by_node
     ready = workers["vm-2"].state
@@ -602,9 +597,6 @@
     assert nodes and "vm-1" not in nodes, nodes
 
 
-# ---- advice
-
-
 @given('job "{name}" of {count:d} task of an advised queue')
 def step_advised_job(context, name, count):
     _submit(context, name, plain(count), advised=True)
@@ -642,7 +634,7 @@
     assert [incarnation.id for incarnation in context.question.workers] == ["i-vm-2"]
 
 
-@when("it is granted once more")
+@when("it is granted a ticket again")
 def step_granted_again(context):
     world = context.world
     until = world.now + 3.0
@@ -656,9 +648,6 @@
     assert _question(context.world) is None
 
 
-# ---- refusals
-
-
 @given("its agent refuses every start")
 def step_refuses(context):
     worker = context.world.worker_by_node["vm-1"]
@@ -701,13 +690,13 @@
     (key,) = worker.running
     worker.end(key, RunEnd.STOPPED)
     worker.unsettled = [key]
-    # Not durable yet: the end is listed again.
+    # The end is not stored yet, so it is listed again.
     world.report(worker)
     world.report(worker)
     worker.unsettled = []
 
 
-@when("its run fails, and a new leader restores that and hears of the end again")
+@when("its run fails, and a new leader restores that and gets the end again")
 def step_failure_again(context):
     world = context.world
     world.round(commit=False)
--- a/features/steps/scheduling_world.py
+++ b/features/steps/scheduling_world.py
@@ -1,4 +1,4 @@
-"""A scheduler with pretended agents and workers, for steps without processes."""
+"""A scheduler with simulated agents and workers, for steps without processes."""
 
 import math
 from dataclasses import dataclass, field
@@ -25,7 +25,7 @@
 
 @dataclass
 class SimulatedWorker:
-    """A worker and its agent; runs what it is told and ends it when asked."""
+    """A worker and its agent; runs end only when the test ends them."""
 
     node: str
     zone: str = "zilina-a"
@@ -38,9 +38,9 @@
     session: int = 1
     left: bool = False
     unknown: bool = False
-    """Whether the agent was started again and has not heard of its worker."""
+    """Whether the agent was restarted and its worker has not reported to it."""
     unlisted: bool = False
-    """Whether the agent has heard of its worker, and has no list of it yet."""
+    """Whether the worker has reported to the agent, without a list of its runs yet."""
     orders_taken: int = 0
     running: dict = field(default_factory=dict)
     """Starts by run key."""
@@ -53,7 +53,7 @@
     refused: list = field(default_factory=list)
     unsettled: list = field(default_factory=list)
     ends_whole: bool = True
-    """Whether its list has a place for every end."""
+    """Whether its list contains every end."""
 
     def take(self, orders: Orders) -> None:
         """Carry out orders as an agent and its worker would."""
@@ -77,8 +77,8 @@
         self.ends += 1
         self.ended.append(Ended(self.ends, key, how, checkpoint))
 
-    def reborn(self) -> None:
-        """Crash, and come back with nothing."""
+    def restart(self) -> None:
+        """Crash and restart without runs."""
         self.born += 1
         self.running.clear()
         self.ended = []
@@ -126,7 +126,7 @@
 
 
 class SchedulingWorld:
-    """A scheduler, its pretended workers, and the present time."""
+    """A scheduler, its simulated workers, and the present time."""
 
     def __init__(
         self,
@@ -150,7 +150,7 @@
         return WALL_START + self.now
 
     def lead(self, epoch: int) -> None:
-        """Begin as a new leader that knows nothing."""
+        """Start as a new leader with an empty scheduler."""
         self.scheduler = Scheduler(
             epoch,
             lease_horizon=HORIZON,
@@ -160,7 +160,7 @@
         self.claimed_at = self.now
 
     def submit(self, job: Job):
-        """Hand in a job."""
+        """Submit a job."""
         return self.scheduler.book.add(job, now=self.now, wall_now=self.wall_now)
 
     def report(self, worker: SimulatedWorker) -> None:
@@ -183,7 +183,7 @@
                 worker.figure_by_run[key] = pace * cores
 
     def decide(self) -> list:
-        """Place, and return what would be sent as pairs of node and orders."""
+        """Run a placement round; return the orders to send, with their nodes."""
         self.scheduler.expire(now=self.now, predecessors_until=self.claimed_at)
         self.scheduler.place(now=self.now, wall_now=self.wall_now)
         sent = self.scheduler.orders(now=self.now)
@@ -193,7 +193,7 @@
         return [(vm.node, orders) for vm, orders in sent]
 
     def round(self, *, commit: bool = True) -> None:
-        """Report, decide and carry out once; a third of a second passes."""
+        """Report, decide and carry out the orders once; then let 0.3 s pass."""
         for worker in self.worker_by_node.values():
             self.report(worker)
         for node, orders in self.decide():
@@ -203,12 +203,12 @@
         self.now += REPORT_SECONDS
 
     def commit(self) -> None:
-        """Make all progress durable."""
+        """Mark all progress as stored."""
         for entry in self.scheduler.book.entry_by_id.values():
             self.scheduler.committed(entry, entry.version)
 
     def running_nodes(self, job: str) -> list[str]:
-        """Return where runs of a job go on, one name a run."""
+        """Return the nodes of a job's runs in progress, one for each run."""
         return [
             node
             for node, worker in self.worker_by_node.items()
@@ -217,7 +217,7 @@
         ]
 
     def end_all(self, how: RunEnd = RunEnd.SUCCEEDED, job: str = "") -> None:
-        """End what runs, or what runs of one job."""
+        """End all runs in progress, or those of one job."""
         for worker in self.worker_by_node.values():
             for key in list(worker.running):
                 if not job or key.task.job == job:
@@ -238,17 +238,17 @@
 
 
 def plain(count: int = 1, cores: float = 4.0, **more) -> Step:
-    """Return a step of `count` tasks that share nothing."""
+    """Return a step of `count` tasks that are neither serving nor filling."""
     return Step(count, Resources(cores, 100, 0), 1.0, **more)
 
 
 def serving(count: int = 1, cores: float = 6.0, image: str = "watch", **more) -> Step:
-    """Return a step of tasks that last and serve users."""
+    """Return a step of long-running serving tasks."""
     more = {"long_running": True, "target_seconds": 0.02} | more
     return Step(count, Resources(cores, 100, 0), 1.0, image=image, **more)
 
 
 def filling(count: int = 1, cores: float = 4.0, image: str = "build", **more) -> Step:
-    """Return a step of tasks that take what others leave."""
+    """Return a step of filling tasks."""
     more = {"fills": True, "checkpointable": True} | more
     return Step(count, Resources(cores, 100, 0), 3.0, image=image, **more)
--- a/features/steps/sharing_steps.py
+++ b/features/steps/sharing_steps.py
@@ -1,4 +1,4 @@
-"""Steps on tasks that fill beside tasks that serve: the scheduler alone."""
+"""Steps on filling tasks beside serving tasks, with the scheduler alone."""
 
 from behave import given, then, when
 
@@ -13,7 +13,7 @@
 from wagtailcleat.scheduling.interference import MIN_VARIANCE, Estimate
 
 LEAST_DONE = 200
-"""Of 240 tasks; the margin is for the order in which unprofiled images start."""
+"""Of 240 tasks; the number varies with the order in which unprofiled images start."""
 LONG_AGO = 8.0
 """Seconds: more than the objective of the jobs here, less than three times that."""
 MOST_OVER = 0.03
@@ -59,7 +59,7 @@
 @when("the serving task reports {share:g} times its target for {seconds:d} s")
 @when("the serving task reports {share:g} of its target for {seconds:d} s")
 def step_reports(context, share, seconds):
-    # One report more: the first one after a change still mixes before and after.
+    # One report more: the first one after a change covers the time before it, too.
     for _ in range(round(seconds / REPORT_SECONDS) + 1):
         _serve_at(context.world, share)
         context.world.round()
@@ -70,7 +70,7 @@
     assert not context.world.running_nodes("beside")
 
 
-@then('no other task of image "{image}" is let in there')
+@then('no other task of image "{image}" is admitted there')
 def step_not_let_in(context, image):
     world = context.world
     world.submit(make_job("other", filling(1, image=image), priority=2))
@@ -79,7 +79,7 @@
     assert not world.running_nodes("other")
 
 
-@then('{count:d} more tasks of image "{image}" are let in')
+@then('{count:d} more tasks of image "{image}" are admitted')
 def step_let_in(context, count, image):
     world = context.world
     world.submit(make_job("more", filling(count, image=image), priority=2))
@@ -94,13 +94,13 @@
     context.world.submit(job)
 
 
-@then('all of job "{name}" runs away from the serving task')
+@then('all of job "{name}" runs on other VMs than the serving task')
 def step_away(context, name):
     nodes = context.world.running_nodes(name)
     assert nodes and context.serving_node not in nodes, nodes
 
 
-@given("jobs of filling tasks with {count:d} images never seen")
+@given("jobs of filling tasks with {count:d} unprofiled images")
 def step_unprofiled(context, count):
     context.world.now += 2.0
     for number in range(count):
@@ -115,14 +115,14 @@
     assert 0 < len(fills) <= count, fills
 
 
-@then("its image is not taken to reach more than {share:g} alone")
+@then("its image's estimated load by itself is at most {share:g}")
 def step_alone(context, share):
     learnt = context.world.scheduler.sharing.interference
     load = learnt.idle("watch") / (1 - learnt.base("watch"))
     assert load <= share, load
 
 
-@then("the filling task is paced down and not stopped")
+@then("the filling task is throttled and not stopped")
 def step_paced(context):
     worker = context.world.worker_by_node["vm-1"]
     assert context.world.running_nodes("beside")
@@ -183,7 +183,7 @@
 @then('only the task of image "{image}" is stopped')
 def step_only_stopped(context, image):
     assert context.heavy == image
-    # A stopped task goes on from its checkpoint in a second run, here or elsewhere.
+    # A stopped task continues from its checkpoint in a second run on some VM.
     world = context.world
     jobs = [key.task.job for _, key in world.starts]
     assert world.running_nodes(context.light) and jobs.count(context.light) == 1
@@ -195,11 +195,11 @@
     _know(context, image, added)
 
 
-@when('two jobs of image "{image}" are handed in, one of which will be late')
+@when('two jobs of image "{image}" are submitted, one of which will be late')
 def step_one_late(context, image):
     world = context.world
     step = filling(1, image=image)
-    # The late one is urgent, and so is looked at first.
+    # The late job is more urgent, so it is placed first.
     late = make_job("late", step, priority=1, accepted_at=world.wall_now - LONG_AGO)
     world.submit(late)
     world.submit(make_job("in-time", step, priority=2, accepted_at=world.wall_now))
@@ -227,7 +227,9 @@
     assert list(worker.pace_by_run.values())[-1] == 100, worker.pace_by_run
 
 
-@then("in a burst beside swinging serving tasks, filling work gets on and targets hold")
+@then(
+    "in a burst beside varying serving load, filling work progresses and targets hold"
+)
 def step_swinging(context):
     fleet = SwingingFleet()
     fleet.play(seconds=30.0)
--- a/features/steps/sharing_world.py
+++ b/features/steps/sharing_world.py
@@ -1,4 +1,4 @@
-"""A fleet whose serving tasks swing in load, and are slowed by what fills beside."""
+"""A simulated fleet of serving tasks with varying load, slowed by filling tasks."""
 
 import math
 
@@ -16,7 +16,7 @@
 CORES = 32.0
 SERVING_IMAGES = ("watch-a", "watch-b", "watch-c")
 TOLERANT = "watch-c"
-"""Bears everything beside it."""
+"""This image is not slowed by any filling task."""
 LIGHT_IMAGES = ("fill-0", "fill-1", "fill-2")
 FILLING_IMAGES = tuple(f"fill-{number}" for number in range(9))
 IDLE = 0.22
@@ -30,10 +30,10 @@
 
 
 class SwingingFleet:
-    """VMs with serving tasks on nine tenths of their cores, and a burst that fills."""
+    """VMs with serving tasks on nine tenths of their cores, and a filling burst."""
 
     def __init__(self) -> None:
-        """Start the serving tasks, then hand in the burst."""
+        """Start the serving tasks, then submit the burst."""
         workers = [SimulatedWorker(f"vm-{n}", cores=CORES) for n in range(1, VMS + 1)]
         self.world = SchedulingWorld(workers)
         self.done = 0
