--- a/wagtailcleat/scheduling/interference.py
+++ b/wagtailcleat/scheduling/interference.py
@@ -85,7 +85,7 @@
 
     @property
     def conservative(self) -> float:
-        """The mean plus half the standard deviation in excess of the least variance."""
+        """The mean plus half the deviation of the variance above `MIN_VARIANCE`."""
         return self.mean + 0.5 * math.sqrt(max(0.0, self.variance - MIN_VARIANCE))
 
 
--- a/wagtailcleat/scheduling/placement.py
+++ b/wagtailcleat/scheduling/placement.py
@@ -20,8 +20,8 @@
 MIN_SPARE_SHARE = 0.9
 """Share of a filling task's cores that must be idle for the task to start.
 
-With less it would make little progress and yet occupy memory, while another VM may have
-room a moment later.
+With less it would make little progress, yet occupy memory and hold on to its
+checkpoint, while another VM may have room a moment later.
 """
 
 INTERFERENCE_ROUNDING_DIGITS = 2
--- a/wagtailcleat/scheduling/vms.py
+++ b/wagtailcleat/scheduling/vms.py
@@ -23,7 +23,7 @@
 VMs have room; after that a waiting task would use up all its attempts there.
 """
 AVOID_SECONDS = 6.0
-"""How long a VM is avoided or quarantined after its last failure."""
+"""How long a VM is avoided or quarantined after its last failure; then it is tried."""
 
 PERCENT = 100
 SLOW_SPEED = 0.4
@@ -33,9 +33,9 @@
 of its speed or stands still.
 """
 SLOW_VM_AVOID_SECONDS = 2.5
-"""How long a VM is avoided after its speed was last measured as slow."""
+"""How long a VM is avoided after it was last measured as slow; then it is tried."""
 SPEED_WEIGHT = 0.3
-"""Weight of one measurement of a run's progress in its VM's average speed."""
+"""Weight of one measurement of progress; reports are a third of a second apart."""
 EXPECTED_SERVING_USE = 0.45
 """Share of its committed cores that a serving run uses on average."""
 
