--- a/features/steps/bursts_steps.py
+++ b/features/steps/bursts_steps.py
@@ -55,7 +55,7 @@
     world = context.world
     for worker in world.worker_by_node.values():
         world.report(worker)
-    context.whole = world.scheduler.place(
+    context.is_complete = world.scheduler.place(
         now=world.now, wall_now=world.wall_now, in_time=in_time
     )
     for vm, orders in world.scheduler.orders(now=world.now):
@@ -68,7 +68,7 @@
 
 
 @when("a round has time for all")
-def step_whole_round(context):
+def step_complete_round(context):
     _round(context, lambda: True)
 
 
@@ -84,15 +84,15 @@
 
 
 @then("{count:d} tasks run and the round was cut short")
-def step_running_not_whole(context, count):
+def step_running_cut_short(context, count):
     assert _running(context) == count
-    assert not context.whole
+    assert not context.is_complete
 
 
 @then("{count:d} tasks run and the round was complete")
-def step_running_whole(context, count):
+def step_running_complete(context, count):
     assert _running(context) == count
-    assert context.whole
+    assert context.is_complete
 
 
 def _running(context):
@@ -103,7 +103,7 @@
 def step_same(context, count):
     for seed in range(count):
         single = _chosen_one_by_one(*_fleet(random.Random(seed)))
-        shared = _chosen_together(*_fleet(random.Random(seed)))
+        shared = _chosen_from_candidates(*_fleet(random.Random(seed)))
         assert single == shared, (seed, single, shared)
 
 
@@ -162,7 +162,7 @@
     return chosen
 
 
-def _chosen_together(vms, tasks):
+def _chosen_from_candidates(vms, tasks):
     racks = Counter()
     chosen = []
     candidates_by_key = {}
@@ -214,7 +214,7 @@
 
 
 @when("each start is {size:d} bytes long, and orders are sent each {pause:g} s")
-def step_leave(context, size, pause):
+def step_send_orders(context, size, pause):
     assert size == START_BYTES
     world = context.world
     _lengthen_specs(world)
--- a/features/steps/ended_runs_fuzz.py
+++ b/features/steps/ended_runs_fuzz.py
@@ -75,7 +75,7 @@
     return ends, draw(st.lists(hear | changes, min_size=10, max_size=60))
 
 
-class Listening:
+class SuccessiveLeaders:
     """One job at successive leaders, and its record in the store."""
 
     def __init__(self, ends: list[End]) -> None:
@@ -84,13 +84,13 @@
         self.listed = set(ends)
         """Ends that are not acknowledged yet."""
         self.stored: bytes | None = None
-        self.lead()
+        self.start_leader()
 
-    def lead(self) -> None:
+    def start_leader(self) -> None:
         """Replace the leader by one that restores the stored record."""
         record = decode(self.stored, JobRecord) if self.stored else None
         self.book = JobTable()
-        self.heard: set[End] = set()
+        self.reported: set[End] = set()
         self.durable: set[End] = set()
         job = make_job(JOB, plain(TASKS, checkpointable=True), attempts=ATTEMPTS)
         self.book.add(job, now=0.0, wall_now=job.accepted_at, record=record)
@@ -100,11 +100,11 @@
         """The job as the present leader sees it."""
         return self.book.entry_by_id[JOB]
 
-    def hear(self, end: End) -> None:
+    def report(self, end: End) -> None:
         """Deliver an end to the present leader, if it is still listed."""
         if end not in self.listed:
             return
-        self.heard.add(end)
+        self.reported.add(end)
         self.book.record_end(
             end.run, end.how, end.checkpoint, node=end.node, now=0.0, wall_now=0.0
         )
@@ -112,39 +112,41 @@
     def store(self) -> None:
         """Store what the present leader knows."""
         self.stored = encode(record_of(self.entry))
-        self.durable = set(self.heard)
+        self.durable = set(self.reported)
 
     def acknowledge(self) -> None:
         """Acknowledge the ends that are stored; their workers list them no more."""
         self.listed -= self.durable
 
-    def of(self, key: TaskKey) -> list[End]:
+    def ends_of(self, key: TaskKey) -> list[End]:
         """Return all ends of a task, as the oracle knows them."""
         return [end for end in self.ends if end.run.task == key]
 
     def failures(self, key: TaskKey) -> set[int]:
         """Return the runs of a task that failed, as the oracle knows them."""
-        return {end.run.run for end in self.of(key) if end.how is RunEnd.FAILED}
+        return {end.run.run for end in self.ends_of(key) if end.how is RunEnd.FAILED}
 
     def check(self) -> None:
         """Assert that no failure is counted that did not happen."""
         for task in self.entry.tasks():
             assert task.failed_runs <= self.failures(task.key), task.failed_runs
         if self.entry.state is JobState.FAILED:
-            assert self.worn_out(), "shown as failed, and no task failed so often"
+            assert self.has_used_up_attempts(), (
+                "shown as failed, and no task failed so often"
+            )
 
-    def worn_out(self) -> bool:
+    def has_used_up_attempts(self) -> bool:
         """Return whether some task has failed as often as its queue allows."""
         keys = [TaskKey(JOB, 0, 0, position) for position in range(TASKS)]
         return any(len(self.failures(key)) >= ATTEMPTS for key in keys)
 
-    def check_all_heard(self) -> None:
+    def check_all_reported(self) -> None:
         """Assert that the job's state is right once all ends were reported."""
-        assert self.worn_out() == (self.entry.state is JobState.FAILED)
+        assert self.has_used_up_attempts() == (self.entry.state is JobState.FAILED)
         if self.entry.state.final:
             return
         for task in self.entry.tasks():
-            ends = self.of(task.key)
+            ends = self.ends_of(task.key)
             done = any(end.how is RunEnd.SUCCEEDED for end in ends)
             assert done == (task.state is TaskState.SUCCEEDED), task
             if done:
@@ -154,26 +156,26 @@
             assert task.checkpoint == (saved[-1] if saved else ""), task.checkpoint
             failed = [end for end in ends if end.how is RunEnd.FAILED]
             assert task.failed_on <= {end.node for end in failed}, task.failed_on
-            heard = {end.node for end in failed if end in self.heard}
-            assert task.failed_on >= heard, task.failed_on
+            reported_nodes = {end.node for end in failed if end in self.reported}
+            assert task.failed_on >= reported_nodes, task.failed_on
 
 
 def _listen(ends: list[End], steps: list[tuple[str, int]], last: list[End]) -> None:
-    listening = Listening(ends)
+    leaders = SuccessiveLeaders(ends)
     for name, number in steps:
         if name == "hear" and ends:
-            listening.hear(ends[number])
+            leaders.report(ends[number])
         elif name == "store":
-            listening.store()
+            leaders.store()
         elif name == "acknowledge":
-            listening.acknowledge()
+            leaders.acknowledge()
         elif name == "leader":
-            listening.lead()
-        listening.check()
+            leaders.start_leader()
+        leaders.check()
     for end in last:
-        listening.hear(end)
-        listening.check()
-    listening.check_all_heard()
+        leaders.report(end)
+        leaders.check()
+    leaders.check_all_reported()
 
 
 class CountedHistory(History):
--- a/features/steps/ended_runs_steps.py
+++ b/features/steps/ended_runs_steps.py
@@ -46,7 +46,7 @@
         entry.settled = False
 
 
-def _place_of(context):
+def _only_run(context):
     """Return the only run of the scenario's job, with its worker."""
     places = [
         (worker, key)
@@ -66,7 +66,7 @@
     """
     world = context.world
     context.stored_before = _records(world)
-    first, key = _place_of(context)
+    first, key = _only_run(context)
     first.end(key, how, checkpoint)
     first.state = WorkerState.DRAINING
     for worker in world.worker_by_node.values():
@@ -77,11 +77,11 @@
     first.state = WorkerState.READY
     context.first = first
     context.first_key = key
-    context.second, context.second_key = _place_of(context)
+    context.second, context.second_key = _only_run(context)
     assert context.second is not first
 
 
-def _hear_second_first(context):
+def _report_second_first(context):
     context.world.report(context.second)
     context.world.report(context.first)
 
@@ -116,10 +116,10 @@
 )
 def step_other_ends(context):
     for how in (RunEnd.STOPPED, RunEnd.LAPSED):
-        worker, key = _place_of(context)
+        worker, key = _only_run(context)
         worker.end(key, how)
         _rounds(context.world, 2)
-    worker, _ = _place_of(context)
+    worker, _ = _only_run(context)
     worker.restart()
 
 
@@ -157,13 +157,13 @@
 @when("a new leader learns of the later run first, and then of the earlier one's end")
 def step_later_first(context):
     _restart_leader(context)
-    _hear_second_first(context)
+    _report_second_first(context)
 
 
 @when("a leader that finds nothing of that stored learns of the later run first")
 def step_nothing_stored(context):
     _restart_leader(context, context.stored_before)
-    _hear_second_first(context)
+    _report_second_first(context)
 
 
 @when('the later run has reached checkpoint "{checkpoint}"')
@@ -213,14 +213,14 @@
 @then('only the later run of job "{name}" continues')
 def step_just_one(context, name):
     _rounds(context.world, 5)
-    worker, key = _place_of(context)
+    worker, key = _only_run(context)
     assert (worker, key) == (context.second, context.second_key), (worker, key)
 
 
 @then('job "{name}" continues from checkpoint "{checkpoint}"')
 def step_from_checkpoint(context, name, checkpoint):
     _rounds(context.world, 2)
-    worker, key = _place_of(context)
+    worker, key = _only_run(context)
     assert key.run > context.second_key.run, key
     assert worker.running[key].checkpoint == checkpoint, worker.running[key]
 
@@ -228,7 +228,7 @@
 @then("it runs where it has not failed")
 def step_not_where_failed(context):
     _rounds(context.world, 2)
-    worker, key = _place_of(context)
+    worker, key = _only_run(context)
     assert key.run > context.second_key.run, key
     assert worker is not context.first, worker.node
 
@@ -288,7 +288,7 @@
     )
     world.submit(job)
     _rounds(world, 2)
-    context.second, context.second_key = _place_of(context)
+    context.second, context.second_key = _only_run(context)
     context.stored_before = _records(world)
 
 
@@ -334,7 +334,7 @@
 @then('job "{name}" keeps running and is not started again')
 def step_runs_on(context, name):
     _rounds(context.world, 5)
-    assert _place_of(context) == (context.second, context.second_key)
+    assert _only_run(context) == (context.second, context.second_key)
 
 
 @then("the task that has succeeded is not started again")
--- a/features/steps/interference_steps.py
+++ b/features/steps/interference_steps.py
@@ -26,7 +26,7 @@
 
 
 @given("two serving jobs on 4 VMs, with loads that vary in 10 s, each in its own phase")
-def step_swinging_jobs(context):
+def step_varying_jobs(context):
     context.learnt = Interference()
     context.random = random.Random(7)
     context.now = 0.0
@@ -68,7 +68,7 @@
 
 
 @then("the estimate of each filling image is known, and only the one adds much")
-def step_told_apart(context):
+def step_identified(context):
     for job in JOBS:
         for image in context.added_by_image:
             estimate = context.learnt.estimate(job, image)
--- a/features/steps/late_words_steps.py
+++ b/features/steps/late_words_steps.py
@@ -158,18 +158,18 @@
 
 
 @when("its run succeeds, and its worker's full list omits that end")
-def step_no_place(context):
+def step_end_omitted(context):
     worker = context.world.worker_by_node[context.node]
     for key in list(worker.running):
         worker.end(key, RunEnd.SUCCEEDED)
-    context.left_out, worker.ended = worker.ended, []
+    context.omitted_ends, worker.ended = worker.ended, []
     worker.ends_whole = False
 
 
 @when("the list includes that end")
-def step_place(context):
+def step_end_included(context):
     worker = context.world.worker_by_node[context.node]
-    worker.ended = context.left_out
+    worker.ended = context.omitted_ends
     worker.ends_whole = True
 
 
@@ -180,7 +180,7 @@
 
 
 @then("a list of {most:d} ends counts as complete, and one of {more:d} does not")
-def step_whole(context, most, more):
+def step_complete(context, most, more):
     for count, is_whole in ((most, True), (more, False)):
         body = {"clockMs": 1000, "running": [], "finished": _end_rows(count)}
         answer = _run_list(Reply(200, body))
@@ -196,7 +196,7 @@
 
 
 @then("its list counts as complete once its runs count as lost")
-def step_whole_again(context):
+def step_complete_again(context):
     world = context.hosting_world
     world.until(lambda: not world.hosting.running)
     assert world.hosting.ends_whole
@@ -212,7 +212,7 @@
 
 
 @when("its worker restarts, and the first report after that has no list")
-def step_begins_unlisted(context):
+def step_restarts_unlisted(context):
     (worker,) = context.world.worker_by_node.values()
     worker.restart()
     worker.unlisted = True
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -69,7 +69,7 @@
 
 
 @then('job "{name}" runs on other VMs than the first')
-def step_away_from_first(context, name):
+def step_not_on_first(context, name):
     nodes = context.world.running_nodes(name)
     assert nodes and FIRST not in nodes, nodes
 
--- a/features/steps/scheduling_fuzz.py
+++ b/features/steps/scheduling_fuzz.py
@@ -61,8 +61,8 @@
         workers = [SimulatedWorker(f"vm-{n}", cores=CORES) for n in range(WORKERS)]
         self.world = SchedulingWorld(workers)
         self.nodes = [worker.node for worker in workers]
-        self.held: list = []
-        self.cut: dict[str, float] = {}
+        self.held_orders: list = []
+        self.cut_since_by_node: dict[str, float] = {}
         self.jobs = 0
         self.epoch = 1
         self.succeeded: set = set()
@@ -72,7 +72,7 @@
     def step(self, name: str, number: int) -> None:
         """Carry out one operation and check the invariants."""
         getattr(self, f"do_{name}")(number)
-        self.lapse()
+        self.expire_leases()
         self.check()
 
     def do_submit(self, number: int) -> None:
@@ -97,7 +97,7 @@
 
     def report(self, node: str) -> None:
         """Deliver a report, unless the agent is cut off."""
-        if node not in self.cut:
+        if node not in self.cut_since_by_node:
             self.world.report(self.world.worker_by_node[node])
 
     def do_report(self, number: int) -> None:
@@ -110,15 +110,15 @@
         self.check_no_room_missed()
         for node, orders in decided:
             session = self.world.worker_by_node[node].session
-            self.held.append((node, session, self.epoch, orders))
+            self.held_orders.append((node, session, self.epoch, orders))
 
     def do_deliver(self, number: int) -> None:
         """Deliver held orders, unless their connection or epoch has ended."""
-        held, self.held = self.held, []
-        for node, session, epoch, orders in held:
+        orders_sent, self.held_orders = self.held_orders, []
+        for node, session, epoch, orders in orders_sent:
             worker = self.world.worker_by_node[node]
             current = session == worker.session and epoch == self.epoch
-            if node in self.cut or not current:
+            if node in self.cut_since_by_node or not current:
                 continue
             if orders.born == worker.born:
                 worker.take(orders)
@@ -165,16 +165,16 @@
     def do_silence(self, number: int) -> None:
         """Cut an agent off."""
         node = self.nodes[number % WORKERS]
-        self.cut.setdefault(node, self.world.now)
+        self.cut_since_by_node.setdefault(node, self.world.now)
         self.do_lose(number)
 
     def do_return(self, number: int) -> None:
         """Reconnect all agents that are cut off."""
-        self.cut.clear()
+        self.cut_since_by_node.clear()
 
-    def lapse(self) -> None:
+    def expire_leases(self) -> None:
         """End the runs of workers whose agent was cut off until the leases expired."""
-        for node, since in self.cut.items():
+        for node, since in self.cut_since_by_node.items():
             if self.world.now - since >= HORIZON:
                 worker = self.world.worker_by_node[node]
                 for key in list(worker.running):
@@ -183,7 +183,7 @@
     def do_leader(self, number: int) -> None:
         """Replace the leader by one that restores the stored records."""
         world = self.world
-        self.held.clear()
+        self.held_orders.clear()
         self.epoch += 1
         entries = list(world.scheduler.book.entry_by_id.values())
         world.lead(self.epoch)
--- a/features/steps/scheduling_steps.py
+++ b/features/steps/scheduling_steps.py
@@ -66,7 +66,7 @@
 
 
 @given('job "{name}" of {count:d} tasks, at most {most:d} a VM')
-def step_job_apart(context, name, count, most):
+def step_job_max_per_vm(context, name, count, most):
     _submit(context, name, plain(count, max_per_vm=most))
 
 
@@ -88,7 +88,7 @@
 
 
 @given("the agent is disconnected")
-def step_out_of_touch(context):
+def step_disconnected(context):
     context.world.scheduler.lost_touch("vm-1")
 
 
@@ -198,7 +198,7 @@
 
 
 @when("the worker lists the ends")
-def step_lists(context):
+def step_ends_listed(context):
     for node, orders in context.held:
         context.world.worker_by_node[node].take(orders)
     context.world.round()
@@ -273,7 +273,7 @@
 
 
 @when("its runs end by a failure, and then by a success")
-def step_last_ends(context):
+def step_long_running_ends(context):
     for how in (RunEnd.FAILED, RunEnd.SUCCEEDED):
         context.world.round()
         context.world.end_all(how)
@@ -408,7 +408,7 @@
 
 @when("its agent sends no report for {seconds:d} s")
 @when("its agent sends no report for {seconds:d} s more")
-def step_not_heard(context, seconds):
+def step_no_report(context, seconds):
     world = context.world
     world.scheduler.lost_touch(context.node)
     for _ in range(round(seconds / REPORT_SECONDS)):
@@ -433,7 +433,7 @@
 
 
 @then("the agent may be removed from the store")
-def step_struck(context):
+def step_removable(context):
     idle = [vm.node for vm in context.world.scheduler.idle_absent()]
     assert idle == [context.node], idle
 
@@ -499,19 +499,19 @@
 
 
 @when('job "{name}" of {count:d} tasks with {cores:d} cores is submitted')
-def step_cores_comes(context, name, count, cores):
+def step_cores_submitted(context, name, count, cores):
     _submit(context, name, plain(count, cores=cores))
     context.held = context.world.decide()
 
 
 @when("its runs are stopped")
 def step_runs_stopped(context):
-    step_lists(context)
+    step_ends_listed(context)
     context.world.round()
 
 
 @when('job "{name}" of {count:d} tasks is submitted')
-def step_comes(context, name, count):
+def step_submitted(context, name, count):
     step_job(context, name, count)
     context.world.round()
 
@@ -565,7 +565,7 @@
 
 
 @given("a long-running job and a short one are submitted together")
-def step_lasting_and_short(context):
+def step_long_running_and_short(context):
     context.world.submit(make_job("lasting", serving(2, cores=6.0)))
     context.world.submit(make_job("short", plain(1, cores=4.0)))
 
--- a/features/steps/sharing_steps.py
+++ b/features/steps/sharing_steps.py
@@ -9,7 +9,7 @@
     make_job,
     serving,
 )
-from features.steps.sharing_world import SwingingFleet
+from features.steps.sharing_world import VaryingLoadFleet
 from wagtailcleat.scheduling.interference import MIN_VARIANCE, Estimate
 
 LEAST_DONE = 200
@@ -26,11 +26,11 @@
     world.submit(make_job("serving", serving(1), priority=0))
     for _ in range(4):
         world.round()
-        _serve_at(world, share)
+        _report_serving_load(world, share)
     context.serving_node = world.running_nodes("serving")[0]
 
 
-def _serve_at(world, share):
+def _report_serving_load(world, share):
     for worker in world.worker_by_node.values():
         for key in worker.running:
             if key.task.job == "serving":
@@ -61,7 +61,7 @@
 def step_reports(context, share, seconds):
     # One report more: the first one after a change covers the time before it, too.
     for _ in range(round(seconds / REPORT_SECONDS) + 1):
-        _serve_at(context.world, share)
+        _report_serving_load(context.world, share)
         context.world.round()
 
 
@@ -71,16 +71,16 @@
 
 
 @then('no other task of image "{image}" is admitted there')
-def step_not_let_in(context, image):
+def step_not_admitted(context, image):
     world = context.world
     world.submit(make_job("other", filling(1, image=image), priority=2))
-    _serve_at(world, 0.3)
+    _report_serving_load(world, 0.3)
     world.round()
     assert not world.running_nodes("other")
 
 
 @then('{count:d} more tasks of image "{image}" are admitted')
-def step_let_in(context, count, image):
+def step_admitted(context, count, image):
     world = context.world
     world.submit(make_job("more", filling(count, image=image), priority=2))
     world.round()
@@ -95,7 +95,7 @@
 
 
 @then('all of job "{name}" runs on other VMs than the serving task')
-def step_away(context, name):
+def step_on_other_vms(context, name):
     nodes = context.world.running_nodes(name)
     assert nodes and context.serving_node not in nodes, nodes
 
@@ -116,7 +116,7 @@
 
 
 @then("its image's estimated load by itself is at most {share:g}")
-def step_alone(context, share):
+def step_estimated_load(context, share):
     learnt = context.world.scheduler.sharing.interference
     load = learnt.idle("watch") / (1 - learnt.base("watch"))
     assert load <= share, load
@@ -130,7 +130,7 @@
 
 
 @given("{count:d} filling tasks with {cores:d} cores run")
-def step_fillers(context, count, cores):
+def step_filling_run(context, count, cores):
     step = filling(count, cores=cores)
     context.world.submit(make_job("fillers", step, priority=2))
     context.world.round()
@@ -143,10 +143,10 @@
     world.submit(make_job("serving", serving(count, cores=cores), priority=0))
     for _ in range(4):
         world.round()
-        _serve_at(world, share)
+        _report_serving_load(world, share)
 
 
-def _know(context, image, added):
+def _set_estimate(context, image, added):
     learnt = context.world.scheduler.sharing.interference
     known = Estimate(added, MIN_VARIANCE)
     learnt.added_by_pair["watch", image] = known
@@ -154,7 +154,7 @@
 
 @given('a filling task of image "{image}" is known to slow nobody')
 def step_known_light(context, image):
-    _know(context, image, 0.0)
+    _set_estimate(context, image, 0.0)
 
 
 @given('filling tasks of images "{light}" and "{heavy}" run beside it, and are known')
@@ -162,7 +162,7 @@
     world = context.world
     world.now += 2.0
     for image, added in ((light, 0.05), (heavy, 0.8)):
-        _know(context, image, added)
+        _set_estimate(context, image, added)
         step = filling(1, image=image)
         job = make_job(image, step, priority=2, accepted_at=world.wall_now)
         world.submit(job)
@@ -176,7 +176,7 @@
     world = context.world
     for _ in range(5):
         both = world.running_nodes(context.light) and world.running_nodes(context.heavy)
-        _serve_at(world, share if both else 0.5)
+        _report_serving_load(world, share if both else 0.5)
         world.round()
 
 
@@ -192,7 +192,7 @@
 
 @given('a filling task of image "{image}" is known to add {added:g} on a whole VM')
 def step_known_heavy(context, image, added):
-    _know(context, image, added)
+    _set_estimate(context, image, added)
 
 
 @when('two jobs of image "{image}" are submitted, one of which will be late')
@@ -230,8 +230,8 @@
 @then(
     "in a burst beside varying serving load, filling work progresses and targets hold"
 )
-def step_swinging(context):
-    fleet = SwingingFleet()
+def step_burst_beside_serving(context):
+    fleet = VaryingLoadFleet()
     fleet.play(seconds=30.0)
     assert fleet.done >= LEAST_DONE, fleet.done
     assert fleet.over_share <= MOST_OVER, fleet.over_share
--- a/features/steps/sharing_world.py
+++ b/features/steps/sharing_world.py
@@ -29,7 +29,7 @@
 TARGET = 0.02
 
 
-class SwingingFleet:
+class VaryingLoadFleet:
     """VMs with serving tasks on nine tenths of their cores, and a filling burst."""
 
     def __init__(self) -> None:
--- a/wagtailcleat/scheduling/sharing.py
+++ b/wagtailcleat/scheduling/sharing.py
@@ -40,10 +40,10 @@
 """Share of a VM's excess utilization over the prediction that is assumed to persist."""
 MIN_START_PACE = 0.5
 """Pace, as a share, that the room must allow for a task that adds much to start."""
-OVERLOAD = 0.95
+OVER_TARGET_LOAD = 0.95
 """Reported load from which a serving run counts as over its target."""
 ADMISSION_PAUSE_SECONDS = 1.0
-"""How long tasks that add much are not admitted after a serving run was overloaded."""
+"""How long tasks that add much are kept out after a serving run was over its target."""
 STOP_SECONDS = 0.8
 """How long a serving run may be over its target before filling tasks are evicted.
 
@@ -102,9 +102,9 @@
     serving_jobs: set[ServingJob] = field(default_factory=set)
     room_by_job: dict[ServingJob, float] = field(default_factory=dict)
     """Utilization that may be added to each serving job's own, by the last report."""
-    over_since: float | None = None
+    over_target_since: float | None = None
     """Since when a serving run has been over its target, if one is."""
-    last_over_at: float = -1e9
+    last_over_target_at: float = -1e9
     """When a serving run was last reported over its target."""
     last_profiling_at: float = -1e9
     """When a task of an unprofiled image last started."""
@@ -133,13 +133,13 @@
             error = self.interference.learn(reading)
             room = self._predicted_room(job, now) - RESIDUAL_LASTING * error
             state.room_by_job[job] = room
-        over = any(reported_load(hosted) >= OVERLOAD for hosted in _serving(vm))
+        over = any(reported_load(hosted) >= OVER_TARGET_LOAD for hosted in _serving(vm))
         if not over:
-            state.over_since = None
+            state.over_target_since = None
             return
-        state.last_over_at = now
-        if state.over_since is None:
-            state.over_since = now
+        state.last_over_target_at = now
+        if state.over_target_since is None:
+            state.over_target_since = now
 
     def max_added(self, vm: Vm, step: Step) -> float:
         """Return the most utilization that a task of a filling step adds on a VM.
@@ -170,7 +170,7 @@
         ):
             return True
         state = self._state(vm)
-        if now - state.last_over_at < ADMISSION_PAUSE_SECONDS:
+        if now - state.last_over_target_at < ADMISSION_PAUSE_SECONDS:
             return False
         if self.is_unprofiled(vm, step.image):
             is_due = now - state.last_profiling_at >= PROFILING_INTERVAL_SECONDS
@@ -243,7 +243,10 @@
         state = self._state(vm)
         if not filling or now - state.acted_at < MIN_ACTION_INTERVAL_SECONDS:
             return []
-        if state.over_since is not None and now - state.over_since >= STOP_SECONDS:
+        if (
+            state.over_target_since is not None
+            and now - state.over_target_since >= STOP_SECONDS
+        ):
             actions = self._evict(vm, state, filling, now)
         else:
             actions = self._adjust_paces(vm, filling, now)
@@ -256,7 +259,7 @@
     ) -> list[PaceAction]:
         """Evict the runs that add most, until the worst serving run should recover."""
         worst = max(_serving(vm), key=reported_load, default=None)
-        if worst is None or state.over_since is None:
+        if worst is None or state.over_target_since is None:
             return []
         image = worst.step.image
 
@@ -265,7 +268,7 @@
             estimate = self.interference.estimate(image, run.step.image)
             return estimate.conservative * _share(vm, run.step)
 
-        evicts_all = now - state.over_since >= EVICT_ALL_SECONDS
+        evicts_all = now - state.over_target_since >= EVICT_ALL_SECONDS
         utilization = self.interference.utilization
         too_much = utilization(image, reported_load(worst)) - utilization(
             image, AIM_LOAD
