--- a/wagtailcleat/scheduling/placement_rounds.py
+++ b/wagtailcleat/scheduling/placement_rounds.py
@@ -264,7 +264,7 @@
         """Return whether a task may start on a VM, apart from room."""
         if vm.is_quarantined(now) and self._respects_quarantine(task, now):
             return False
-        return self._has_ticket(vm, task, now)
+        return self._is_permitted(vm, task, now)
 
     def _respects_quarantine(self, task: Task, now: float) -> bool:
         """Return whether few enough VMs are quarantined for a task to avoid them."""
@@ -272,14 +272,15 @@
         known = self._quarantine_by_pool.get(key)
         if known is None:
             pool = self._pool_by_service.get(key[0], [])
-            held = [vm for vm in pool if has_required_label(vm, task.step)]
-            quarantined = sum(vm.is_quarantined(now) for vm in held)
+            labelled = [vm for vm in pool if has_required_label(vm, task.step)]
+            quarantined = sum(vm.is_quarantined(now) for vm in labelled)
             known = self._quarantine_by_pool[key] = (
-                quarantined <= MAX_QUARANTINED_SHARE * len(held)
+                quarantined <= MAX_QUARANTINED_SHARE * len(labelled)
             )
         return known
 
-    def _has_ticket(self, vm: Vm, task: Task, now: float) -> bool:
+    def _is_permitted(self, vm: Vm, task: Task, now: float) -> bool:
+        """Return whether a task needs no ticket for a VM, or has a valid one."""
         job = task.entry.job
         step = (task.key.occurrence, task.key.step)
         return not job.advised or bool(self._advice.ticket(job.id, step, vm, now))
@@ -296,8 +297,8 @@
         known = self._committed_by_service.get(service)
         if known is None:
             pool = self._pool_by_service.get(service, [])
-            held = sum(vm.capacity.cores for vm in pool)
-            known = sum(vm.taken.cores for vm in pool) / held if held else 1.0
+            total = sum(vm.capacity.cores for vm in pool)
+            known = sum(vm.taken.cores for vm in pool) / total if total else 1.0
             self._committed_by_service[service] = known
         return known
 
