--- a/features/steps/bursts_steps.py
+++ b/features/steps/bursts_steps.py
@@ -1,4 +1,4 @@
-"""Steps on bursts of wide jobs, and on rounds that are out of time."""
+"""Steps on bursts of wide jobs, and on placement rounds whose time is up."""
 
 import random
 from collections import Counter
@@ -9,18 +9,18 @@
 
 from features.steps.scheduling_world import (
     SERVICE,
-    PretendedWorker,
     SchedulingWorld,
+    SimulatedWorker,
     make_job,
     plain,
     serving,
 )
 from wagtailcleat.resources import Resources
 from wagtailcleat.scheduling import placement
-from wagtailcleat.scheduling.book import Book
+from wagtailcleat.scheduling.book import JobTable
 from wagtailcleat.scheduling.models import WorkerInfo, WorkerState
 from wagtailcleat.scheduling.placement import Candidates, choose
-from wagtailcleat.scheduling.vms import Hosted, Vm
+from wagtailcleat.scheduling.vms import HostedRun, Vm
 
 START_BYTES = 1000
 
@@ -55,7 +55,7 @@
     world = context.world
     for worker in world.worker_by_node.values():
         world.report(worker)
-    context.whole = world.scheduler.place(
+    context.is_complete = world.scheduler.place(
         now=world.now, wall_now=world.wall_now, in_time=in_time
     )
     for vm, orders in world.scheduler.orders(now=world.now):
@@ -68,7 +68,7 @@
 
 
 @when("a round has time for all")
-def step_whole_round(context):
+def step_complete_round(context):
     _round(context, lambda: True)
 
 
@@ -83,16 +83,16 @@
         _round(context, lambda: False)
 
 
-@then("{count:d} tasks run and the round was not whole")
-def step_running_not_whole(context, count):
+@then("{count:d} tasks run and the round was cut short")
+def step_running_cut_short(context, count):
     assert _running(context) == count
-    assert not context.whole
+    assert not context.is_complete
 
 
-@then("{count:d} tasks run and the round was whole")
-def step_running_whole(context, count):
+@then("{count:d} tasks run and the round was complete")
+def step_running_complete(context, count):
     assert _running(context) == count
-    assert context.whole
+    assert context.is_complete
 
 
 def _running(context):
@@ -103,12 +103,12 @@
 def step_same(context, count):
     for seed in range(count):
         single = _chosen_one_by_one(*_fleet(random.Random(seed)))
-        shared = _chosen_together(*_fleet(random.Random(seed)))
+        shared = _chosen_from_candidates(*_fleet(random.Random(seed)))
         assert single == shared, (seed, single, shared)
 
 
 def _fleet(chance):
-    """Return VMs that are partly used, and the tasks of a step that wait."""
+    """Return VMs that are partly used, and the waiting tasks of a step."""
     vms = [_vm(chance, number) for number in range(chance.randint(1, 12))]
     more = {
         "max_per_vm": chance.choice((0, 0, 1, 2)),
@@ -118,7 +118,7 @@
     }
     kind = chance.choice((plain, serving))
     step = kind(chance.randint(1, 20), cores=chance.choice((1.0, 4.0, 9.0)), **more)
-    entry = Book().add(make_job("job", step), now=0.0, wall_now=0.0)
+    entry = JobTable().add(make_job("job", step), now=0.0, wall_now=0.0)
     tasks = entry.tasks_by_step[0, 0]
     for task in tasks:
         if chance.random() < 0.2:
@@ -140,13 +140,13 @@
     )
     vm = Vm(f"vm-{number}", "127.0.0.1", 1, "zilina-a", 0.0, worker=info)
     used = plain(1, cores=float(chance.randint(0, 8)))
-    other = Book().add(make_job(f"used-{number}", used), now=0.0, wall_now=0.0)
+    other = JobTable().add(make_job(f"used-{number}", used), now=0.0, wall_now=0.0)
     _host(vm, other.tasks_by_step[0, 0][0])
     return vm
 
 
 def _host(vm, task):
-    vm.host_run(Hosted(task.run_key, task.step, 0.0))
+    vm.host_run(HostedRun(task.run_key, task.step, 0.0))
 
 
 def _chosen_one_by_one(vms, tasks):
@@ -162,22 +162,22 @@
     return chosen
 
 
-def _chosen_together(vms, tasks):
+def _chosen_from_candidates(vms, tasks):
     racks = Counter()
     chosen = []
-    by_kind = {}
+    candidates_by_key = {}
     for task in tasks:
-        kind = placement.kind_of(task, racks)
-        if kind not in by_kind:
-            by_kind[kind] = Candidates(vms, task, now=0.0, racks=racks)
-        vm = by_kind[kind].best()
+        key = placement.scoring_key(task, racks)
+        if key not in candidates_by_key:
+            candidates_by_key[key] = Candidates(vms, task, now=0.0, racks=racks)
+        vm = candidates_by_key[key].best()
         if vm is None:
             break
         _host(vm, task)
         racks[vm.rack] += 1
         chosen.append(vm.node)
-        for candidates in by_kind.values():
-            candidates.changed(vm)
+        for candidates in candidates_by_key.values():
+            candidates.rescore(vm)
     return chosen
 
 
@@ -186,7 +186,7 @@
     " a second"
 )
 def step_slow_link(context, count, cores, rate):
-    workers = [PretendedWorker(f"vm-{n + 1}", cores=cores) for n in range(count)]
+    workers = [SimulatedWorker(f"vm-{n + 1}", cores=cores) for n in range(count)]
     context.world = SchedulingWorld(workers, start_bytes_per_second=rate)
 
 
@@ -205,7 +205,7 @@
 
 
 def _send(context):
-    """Let orders leave and be carried out; return them."""
+    """Send orders and let the workers carry them out; return the orders."""
     world = context.world
     sent = world.scheduler.orders(now=world.now)
     for vm, orders in sent:
@@ -213,8 +213,8 @@
     return [orders for _, orders in sent]
 
 
-@when("each start is {size:d} bytes long, and orders leave each {pause:g} s")
-def step_leave(context, size, pause):
+@when("each start is {size:d} bytes long, and orders are sent each {pause:g} s")
+def step_send_orders(context, size, pause):
     assert size == START_BYTES
     world = context.world
     _lengthen_specs(world)
@@ -261,7 +261,7 @@
     assert world.scheduler.holds_starts
 
 
-@then("the {count:d} stops leave at once")
+@then("the {count:d} stops are sent at once")
 def step_stops(context, count):
     stops = [key for orders in context.orders for key in orders.stops]
     assert len(stops) == count, stops
@@ -276,7 +276,7 @@
         world.scheduler.cancel(job, now=world.now, wall_now=world.wall_now)
 
 
-@then("no start leaves after that, and nothing keeps its room")
+@then("no start is sent after that, and no run keeps its room")
 def step_nothing_left(context):
     world = context.world
     for _ in range(10):
--- a/features/steps/interference_steps.py
+++ b/features/steps/interference_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what is learnt of images that share VMs: the estimates alone."""
+"""Steps on the interference model alone."""
 
 import math
 import random
@@ -14,7 +14,7 @@
 JOBS = ("watch-a", "watch-b")
 VMS = 4
 SHARE = 0.12
-"""Of a VM's cores that one filling run uses."""
+"""Share of a VM's cores that one filling run uses."""
 HEAVY = 2.0
 """Utilization that a VM full of the heavy image adds."""
 
@@ -25,10 +25,8 @@
     return MEAN_UTILIZATION * (1 + swing)
 
 
-@given(
-    "two serving jobs on 4 VMs, with loads that swing in 10 s, each in its own phase"
-)
-def step_swinging_jobs(context):
+@given("two serving jobs on 4 VMs, with loads that vary in 10 s, each in its own phase")
+def step_varying_jobs(context):
     context.learnt = Interference()
     context.random = random.Random(7)
     context.now = 0.0
@@ -69,12 +67,12 @@
         _report(context, running)
 
 
-@then("each filling image is known, and only the one counts as adding much")
-def step_told_apart(context):
+@then("the estimate of each filling image is known, and only the one adds much")
+def step_identified(context):
     for job in JOBS:
         for image in context.added_by_image:
-            estimate = context.learnt.added(job, image)
-            assert estimate.known, (job, image, estimate)
+            estimate = context.learnt.estimate(job, image)
+            assert estimate.is_known, (job, image, estimate)
             assert (estimate.mean > 1.0) == (image == "heavy"), (job, image, estimate)
             assert image == "heavy" or estimate.mean < 0.5, (job, image, estimate)
 
@@ -88,7 +86,7 @@
 @then("the load expected of both jobs is within {most:g} of their own")
 def step_expected(context, most):
     for job in JOBS:
-        own = context.learnt.own(job, job, context.now)
+        own = context.learnt.expected_own(job, job, context.now)
         idle = context.learnt.idle(job)
         expected = 1 - idle / (IDLE_LOAD / (1 - _own(job, context.now)))
         assert abs(own - expected) <= most, (job, own, expected)
