--- a/features/steps/hosting_steps.py
+++ b/features/steps/hosting_steps.py
@@ -9,7 +9,7 @@
 from tornado.web import Application, RequestHandler
 
 from wagtailcleat.cluster.hosting import Hosting
-from wagtailcleat.cluster.timing import RUN_HORIZON
+from wagtailcleat.cluster.timing import RUN_CONTACT_LIMIT_SECONDS
 from wagtailcleat.ids import JobId, ServiceName, ZoneName
 from wagtailcleat.platform.heartbeats import Heartbeat, decode_leave
 from wagtailcleat.resources import Resources
@@ -55,7 +55,7 @@
             own_host=OWN_HOST,
             lease_limit=6.0,
             may_start=lambda: True,
-            contact=lambda: self.now,
+            leader_contact_at=lambda: self.now,
             zone_out=lambda zone: False,
             on_change=lambda: None,
         )
@@ -77,7 +77,9 @@
             WorkerState.READY,
             Resources(8.0, 64_000, 0),
         )
-        await self.hosting.beat(Heartbeat(info, f"{self.worker_host}:{port}", 1, 0.0))
+        await self.hosting.take_heartbeat(
+            Heartbeat(info, f"{self.worker_host}:{port}", 1, 0.0)
+        )
 
     def until(self, condition):
         ends_at = self.loop.time() + SECONDS
@@ -125,7 +127,7 @@
 
 @when("the leases have surely run out")
 def step_leases_out(context):
-    context.hosting_world.now += 2 * RUN_HORIZON
+    context.hosting_world.now += 2 * RUN_CONTACT_LIMIT_SECONDS
 
 
 @then("the task still counts as running")
--- a/features/steps/leader_steps.py
+++ b/features/steps/leader_steps.py
@@ -4,7 +4,7 @@
 
 from features.steps.leader_world import LeaderWorld
 from features.steps.scheduling_world import make_job, plain
-from wagtailcleat.cluster.keys import AGENT_PREFIX, LEARNT_KEY, agent_key, encode
+from wagtailcleat.cluster.keys import AGENT_PREFIX, INTERFERENCE_KEY, agent_key, encode
 from wagtailcleat.scheduling.interference import Reading
 from wagtailcleat.scheduling.models import (
     JobRecord,
@@ -243,14 +243,14 @@
     _lead(world)
     for _ in range(20):
         world.leader.scheduler.sharing.interference.learn(READING)
-    world.until(lambda: LEARNT_KEY in world.store.found_by_key)
+    world.until(lambda: INTERFERENCE_KEY in world.store.found_by_key)
     context.learnt = _learnt(world)
     assert context.learnt.added
 
 
 @given("a store whose learnt images are unreadable")
 def step_unreadable(context):
-    _begin(context).store.put(LEARNT_KEY, b"\xc1 not ours")
+    _begin(context).store.put(INTERFERENCE_KEY, b"\xc1 not ours")
 
 
 @when("the next leader begins")
--- a/features/steps/leader_world.py
+++ b/features/steps/leader_world.py
@@ -7,7 +7,7 @@
 from features.steps.scheduling_world import PretendedWorker
 from wagtailcleat.cluster.keys import JOB_PREFIX, LEADER_KEY, encode, record_key
 from wagtailcleat.cluster.leader import Leader
-from wagtailcleat.cluster.leadership import NOBODY, Office
+from wagtailcleat.cluster.leadership import NO_LEADER, LeaderLease
 from wagtailcleat.scheduling.models import Job, JobRecord
 from wagtailcleat.storage import (
     Absent,
@@ -128,9 +128,9 @@
 
 
 class _Leadership:
-    leader = NOBODY
+    leader = NO_LEADER
 
-    async def look_after_entries(self, office, *, restored):
+    async def maintain_entries(self, lease, *, restored):
         return None
 
 
@@ -162,7 +162,7 @@
     def lead(self, epoch=2):
         """Let a leader begin."""
         revision = self.store.found_by_key[LEADER_KEY].mod_revision
-        office = Office(
+        lease = LeaderLease(
             epoch,
             revision,
             0,
@@ -172,7 +172,7 @@
             predecessors_until=self.now,
         )
         self.leader = Leader(
-            office,
+            lease,
             store=self.store,
             peers=_Peers(),
             leadership=_Leadership(),
@@ -224,7 +224,7 @@
         return msgspec.structs.replace(
             worker.report(),
             number=self.reports_made,
-            epoch=self.leader.office.epoch,
+            epoch=self.leader.lease.epoch,
             incarnation=self.life_by_node.get(worker.node, 1),
         )
 
--- a/features/steps/restoring_steps.py
+++ b/features/steps/restoring_steps.py
@@ -89,7 +89,7 @@
     small = world.entries[-1]
     small.kill()
     context.small = world.restart(small)
-    told = context.small.leadership.leads_now(context.large.leadership.leader)
+    told = context.small.leadership.leader_announced(context.large.leadership.leader)
     world.loop.run_until_complete(told)
 
 
--- a/features/steps/takeover_corner_steps.py
+++ b/features/steps/takeover_corner_steps.py
@@ -91,12 +91,12 @@
     for entry in world.entries:
         entry.kill()
     context.old = again = world.restart(context.old)
-    again.leadership._others.read = _never_read
+    again.leadership._other_entries.read = _never_read
     world.until(lambda: again in world.leading(), SECONDS, "it leads again")
     again.store.reached = False
     hosts = {again.host}
     world.network.cut.append((hosts, Way.REFUSED))
-    again.leadership._others._place_by_address.clear()
+    again.leadership._other_entries._entry_by_address.clear()
 
 
 async def _never_read():
--- a/features/steps/takeover_histories.py
+++ b/features/steps/takeover_histories.py
@@ -146,7 +146,7 @@
             entry.spawn(self._stop(entry))
 
     async def _stop(self, entry: PretendedEntry) -> None:
-        await entry.leadership.lay_down()
+        await entry.leadership.step_down()
         if self.random.random() < 0.5:
             entry.listens = False
         await asyncio.sleep(self.random.uniform(0, 2.0))
--- a/features/steps/takeover_steps.py
+++ b/features/steps/takeover_steps.py
@@ -8,7 +8,10 @@
 from features.steps.takeover_histories import play_histories
 from features.steps.takeover_world import TakeoverWorld, Way
 from wagtailcleat.cluster.keys import LEADER_KEY, decode, encode, job_key
-from wagtailcleat.cluster.timing import RENEW_EVERY, STEADY_SECONDS
+from wagtailcleat.cluster.timing import (
+    ESTABLISHED_LEADER_SECONDS,
+    RENEWAL_INTERVAL_SECONDS,
+)
 from wagtailcleat.storage import Txn
 from wagtailcleat.wire.scheduling import (
     KeepFollowing,
@@ -68,7 +71,7 @@
 @when("the leader lays down its office, and the word of it reaches one entry late")
 def step_late_word(context):
     # The leader waits 0.6 s for its answer, and then tells the next entry.
-    first = context.old.leadership._others.places()[0]
+    first = context.old.leadership._other_entries.entries()[0]
     told = context.world.network.process_by_host[first.host]
     told.store.slow_seconds = 0.65
     world = context.world
@@ -79,7 +82,7 @@
 
     world.network.hold = hold
     world.loop.call_later(0.6, lambda: setattr(told.store, "slow_seconds", 0.0))
-    world.loop.create_task(context.old.leadership.lay_down())
+    world.loop.create_task(context.old.leadership.step_down())
 
 
 @when("the leader dies, and the answer to the next claim is {seconds:g} s on its way")
@@ -119,7 +122,7 @@
 
 @when("that one lays down its office")
 def step_lays_down(context):
-    context.world.loop.create_task(context.new.leadership.lay_down())
+    context.world.loop.create_task(context.new.leadership.step_down())
 
 
 @when("a job is stored and the old leader is told of it too")
@@ -136,7 +139,7 @@
 
 @given("it has led for long")
 def step_led_long(context):
-    context.world.wait(STEADY_SECONDS)
+    context.world.wait(ESTABLISHED_LEADER_SECONDS)
 
 
 @when("the leader dies")
@@ -151,7 +154,7 @@
     found = world.keyspace.found_by_key[LEADER_KEY]
     host = decode(found.value, Leads).host
     context.claimer = world.network.process_by_host[host]
-    world.loop.create_task(context.claimer.leadership.lay_down())
+    world.loop.create_task(context.claimer.leadership.step_down())
     for entry in context.others:
         entry.store.answer_seconds = 0.0
 
@@ -197,7 +200,7 @@
     context.job = world.submit()
     world.until(lambda: "agent" in seen, SECONDS, "an order is on its way")
     _grow_others(context, seen["agent"])
-    world.loop.create_task(context.old.leadership.lay_down())
+    world.loop.create_task(context.old.leadership.step_down())
     world.until_led(but=context.old)
     world.until(lambda: "report" in seen, SECONDS, "the agent was heard")
     context.release_order.set()
@@ -227,7 +230,7 @@
     world.network.hold = hold
     context.job = world.submit()
     world.until(held.is_set, SECONDS, "an order is on its way")
-    world.loop.create_task(context.old.leadership.lay_down())
+    world.loop.create_task(context.old.leadership.step_down())
     context.old.listens = False
     world.until_led(but=context.old)
     world.wait(0.5)
@@ -238,7 +241,7 @@
 def step_stop_unheard(context):
     hosts = _hosts([context.old])
     context.world.network.cut.append((hosts, Way.SILENT))
-    context.world.loop.create_task(context.old.leadership.lay_down())
+    context.world.loop.create_task(context.old.leadership.step_down())
 
 
 @when("the leader is cut from the other entries and the store, but not from agents")
@@ -381,14 +384,14 @@
     world = context.world
     ends_at = world.clock() + seconds
     # Its last renewal may be a renewal's interval old.
-    ends_at -= RENEW_EVERY
+    ends_at -= RENEWAL_INTERVAL_SECONDS
     while world.clock() < ends_at:
         assert world.leading() == [context.old], world.leading()
         world.wait(0.05)
-    world.wait(RENEW_EVERY)
+    world.wait(RENEWAL_INTERVAL_SECONDS)
     for entry in world.entries:
         entry.store.reached = True
-    world.wait(RENEW_EVERY * 2)
+    world.wait(RENEWAL_INTERVAL_SECONDS * 2)
     assert world.leading() == [context.old], world.leading()
 
 
--- a/features/steps/takeover_world.py
+++ b/features/steps/takeover_world.py
@@ -21,13 +21,13 @@
 )
 from standins.virtual_time import VirtualLoop
 from wagtailcleat.cluster.following import Following
-from wagtailcleat.cluster.keys import JOB_PREFIX, Place, encode, job_key
+from wagtailcleat.cluster.keys import JOB_PREFIX, ProcessInfo, encode, job_key
 from wagtailcleat.cluster.leader import Leader
 from wagtailcleat.cluster.leadership import Leadership
 from wagtailcleat.cluster.timing import (
-    CLOCK_DRIFT,
-    RUN_HORIZON,
-    RUN_LEASE,
+    CLOCK_DRIFT_FACTOR,
+    RUN_CONTACT_LIMIT_SECONDS,
+    RUN_LEASE_SECONDS,
 )
 from wagtailcleat.scheduling.models import Refusal, RunEnd
 from wagtailcleat.storage import (
@@ -369,7 +369,7 @@
         self.leader: Leader | None = None
         self.leadership = Leadership(
             Identity(node, Role.ENTRY, self.incarnation, "s"),
-            Place(host, PORT, self.incarnation, weight),
+            ProcessInfo(host, PORT, self.incarnation, weight),
             store=self.store,
             peers=self.peers,
             clock=world.clock,
@@ -379,7 +379,7 @@
         leadership = self.leadership
         self.handlers = {
             WhoLeads: self.plain(leadership.who_leads),
-            Leads: self.plain(leadership.leads_now),
+            Leads: self.plain(leadership.leader_announced),
             KeepFollowing: self.plain(leadership.keep_following),
             TakeOver: self.plain(leadership.take_over),
             Report: self._report,
@@ -387,9 +387,9 @@
         }
         self.spawn(leadership.run())
 
-    async def _lead(self, office) -> None:
+    async def _lead(self, lease) -> None:
         self.leader = Leader(
-            office,
+            lease,
             store=self.store,
             peers=self.peers,
             leadership=self.leadership,
@@ -436,7 +436,7 @@
             on_orders=self._take,
         )
         self.handlers = {
-            Leads: self.plain(self.following.leads_now),
+            Leads: self.plain(self.following.leader_announced),
             Orders: self._orders,
         }
         self.spawn(self.following.run())
@@ -472,10 +472,13 @@
         self.following.news()
 
     def _lengthen(self, now: float) -> None:
-        until = min(now + RUN_LEASE, self.following.contact_at + RUN_HORIZON)
+        until = min(
+            now + RUN_LEASE_SECONDS,
+            self.following.contact_at + RUN_CONTACT_LIMIT_SECONDS,
+        )
         if until > now:
             # The worker's clock is as slow as it may be.
-            longest = now + (until - now) * CLOCK_DRIFT
+            longest = now + (until - now) * CLOCK_DRIFT_FACTOR
             self.lease_until = max(self.lease_until, longest)
 
     async def _renew(self) -> None:
--- a/wagtailcleat/cluster/agent_app.py
+++ b/wagtailcleat/cluster/agent_app.py
@@ -12,7 +12,7 @@
 from wagtailcleat.cluster.program import Base, make_base, serve_metrics
 from wagtailcleat.cluster.program import main as run
 from wagtailcleat.cluster.settings import AgentSettings, split_address
-from wagtailcleat.cluster.timing import ZONES_WAIT
+from wagtailcleat.cluster.timing import ZONES_WATCH_SECONDS
 from wagtailcleat.ids import Epoch, NodeId, ZoneName
 from wagtailcleat.introspection import Kind
 from wagtailcleat.platform.heartbeats import heartbeat_application
@@ -32,7 +32,7 @@
         self.base: Base = make_base(settings, Role.AGENT)
         base = self.base
         self.operators = OperatorWatch(
-            base.store, wait_seconds=ZONES_WAIT, zones_only=True
+            base.store, wait_seconds=ZONES_WATCH_SECONDS, zones_only=True
         )
         self.following = Following(
             store=base.store,
@@ -50,11 +50,11 @@
             own_host=settings.host,
             lease_limit=settings.run_lease_limit_ms / MILLISECONDS,
             may_start=self.following.may_act,
-            contact=lambda: self.following.contact_at,
+            leader_contact_at=lambda: self.following.contact_at,
             zone_out=lambda zone: zone in self.operators.zones_out,
             on_change=self.following.news,
         )
-        base.dispatch.add_plain({Leads: self.following.leads_now})
+        base.dispatch.add_plain({Leads: self.following.leader_announced})
         base.dispatch.add({Orders: self.following.orders})
         self._add_metrics()
 
@@ -70,7 +70,7 @@
         supervisor.spawn("hosting", self.hosting.run)
         host, port = split_address(self.settings.control)
         server = HTTPServer(
-            heartbeat_application(self.hosting.beat, self.hosting.leave)
+            heartbeat_application(self.hosting.take_heartbeat, self.hosting.leave)
         )
         server.listen(port, host)
         serve_metrics(self.base, self.settings)
--- a/wagtailcleat/cluster/claims.py
+++ b/wagtailcleat/cluster/claims.py
@@ -1,4 +1,7 @@
-"""What the store shows of the leader, and this entry's claims of its office."""
+"""Read the leader's keys from the store, and claim leadership by compare-and-swap.
+
+Used by `leadership` only.
+"""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -7,18 +10,22 @@
 
 from wagtailcleat.clock import Clock
 from wagtailcleat.cluster.keys import (
-    BEAT_KEY,
+    HEARTBEAT_KEY,
     LEADER_KEY,
     LEADER_PREFIX,
-    Beat,
-    Place,
+    LeaderHeartbeat,
+    ProcessInfo,
     decode,
-    decode_beat,
+    decode_leader_heartbeat,
     encode,
     entry_key,
 )
-from wagtailcleat.cluster.office import Office
-from wagtailcleat.cluster.timing import LEADER_VALID, PREDECESSOR_SECONDS, PROBE_EVERY
+from wagtailcleat.cluster.leader_lease import LeaderLease
+from wagtailcleat.cluster.timing import (
+    LEADER_LEASE_SECONDS,
+    PREDECESSOR_LEASE_SECONDS,
+    PROBE_INTERVAL_SECONDS,
+)
 from wagtailcleat.ids import Epoch, NodeId
 from wagtailcleat.logs import part_logger
 from wagtailcleat.platform.keyvalue import KeyValueStore
@@ -39,58 +46,61 @@
 
 log = part_logger("leadership")
 
-NOBODY = Leads(Epoch(0), NodeId(""), 0, "", 0)  # type: ignore[arg-type]
-Learn = Callable[[Leads], Awaitable[None]]
-"""Takes in who leads."""
+NO_LEADER = Leads(Epoch(0), NodeId(""), 0, "", 0)  # type: ignore[arg-type]
+LearnLeader = Callable[[Leads], Awaitable[None]]
+"""Called with each leader that the store or another process names."""
 
 
-class Ground(Enum):
-    """Why an entry claims."""
+class ClaimReason(Enum):
+    """Why an entry claims leadership."""
 
-    NOBODY = "there is none"
+    NO_LEADER = "there is none"
     OWN = "an earlier life of this process led"
     HANDED_OVER = "was handed over"
-    LAID_DOWN = "its leader has laid it down"
+    STEPPED_DOWN = "its leader has laid it down"
     REPLACED = "its process has ended"
-    STANDS = "its beat stands still"
+    HEARTBEAT_STOPPED = "its beat stands still"
     REFUSED = "its port refuses connections"
 
     @property
-    def sure(self) -> bool:
-        """Whether the leader before surely acts no more."""
-        return self is not Ground.REFUSED
+    def is_predecessor_stopped(self) -> bool:
+        """Whether the previous leader certainly no longer acts."""
+        return self is not ClaimReason.REFUSED
 
 
 @dataclass
-class Seen:
-    """The leader's two keys as last read."""
+class LeaderKeys:
+    """The leader key and its heartbeat key as last read from the store."""
 
-    leader: Leads = NOBODY
+    leader: Leads = NO_LEADER
     leader_revision: int = 0
-    beat_revision: int = 0
-    beat: Beat = Beat()
-    beat_seen_at: float = 0.0
-    """When the beat was first seen at this revision."""
+    heartbeat_revision: int = 0
+    heartbeat: LeaderHeartbeat = LeaderHeartbeat()
+    heartbeat_seen_at: float = 0.0
+    """When the heartbeat was first seen at this revision; 0 before the first read."""
 
 
 class Claims:
-    """One entry's view of the leader's keys, and its claims."""
+    """One entry's copy of the leader's keys, and the claims based on it."""
 
     def __init__(
         self,
         identity: Identity,
-        place: Place,
+        own_info: ProcessInfo,
         *,
         store: KeyValueStore,
         clock: Clock,
-        learn: Learn,
+        learn: LearnLeader,
     ) -> None:
-        """Know nothing yet; `learn` is told of each leader that the store names."""
-        self.seen = Seen()
+        """Start before the first read.
+
+        Parameters: `learn` is called with each leader that the store names.
+        """
+        self.last_read = LeaderKeys()
         self.sent_at: float | None = None
-        """When a claim was sent of which it is not known what became of it."""
+        """When a claim was sent whose outcome is in doubt; None if there is none."""
         self._identity = identity
-        self._place = place
+        self._own_info = own_info
         self._store = store
         self._clock = clock
         self._learn = learn
@@ -99,17 +109,17 @@
 
     def __repr__(self) -> str:
         """Show the epoch that was last read."""
-        return f"<Claims after epoch {self.seen.leader.epoch}>"
+        return f"<Claims after epoch {self.last_read.leader.epoch}>"
 
     @property
     def has_read(self) -> bool:
         """Whether this process has read who leads."""
-        return self.seen.beat_seen_at > 0.0
+        return self.last_read.heartbeat_seen_at > 0.0
 
     async def register(self) -> None:
-        """Name this entry in the store."""
+        """Store this entry's address under its own key, and retry until stored."""
         key = entry_key(self._identity.node)
-        value = encode(self._place)
+        value = encode(self._own_info)
         while True:
             found = await self._store.get(key)
             if isinstance(found, Found) and found.value == value:
@@ -123,48 +133,54 @@
                 if isinstance(outcome, Written):
                     self._registration = outcome.store_revision
                     return
-            await asyncio.sleep(PROBE_EVERY)
+            await asyncio.sleep(PROBE_INTERVAL_SECONDS)
 
     async def read(self) -> bool:
-        """Read the leader's keys; tell whether the store answered."""
+        """Read the leader's keys; return whether the store answered."""
         listing = await self._store.list(LEADER_PREFIX)
         if not isinstance(listing, Listing):
             return False
-        seen = self.seen
+        last_read = self.last_read
         found_by_key = {found.key: found for found in listing.found}
         leader = found_by_key.get(LEADER_KEY)
-        beat = found_by_key.get(BEAT_KEY)
-        beat_revision = beat.mod_revision if beat else 0
-        moved = beat_revision != seen.beat_revision
-        if moved or not seen.beat_seen_at:
-            seen.beat_seen_at = self._clock()
-        seen.beat_revision = beat_revision
-        seen.beat = decode_beat(beat.value) if beat else Beat()
-        seen.leader_revision = leader.mod_revision if leader else 0
-        seen.leader = decode(leader.value, Leads) if leader else NOBODY
-        await self._learn(seen.leader)
-        if moved:
-            # A claim is tied to the beat: one that was under way has failed, or shows.
+        heartbeat = found_by_key.get(HEARTBEAT_KEY)
+        heartbeat_revision = heartbeat.mod_revision if heartbeat else 0
+        heartbeat_changed = heartbeat_revision != last_read.heartbeat_revision
+        if heartbeat_changed or not last_read.heartbeat_seen_at:
+            last_read.heartbeat_seen_at = self._clock()
+        last_read.heartbeat_revision = heartbeat_revision
+        last_read.heartbeat = (
+            decode_leader_heartbeat(heartbeat.value) if heartbeat else LeaderHeartbeat()
+        )
+        last_read.leader_revision = leader.mod_revision if leader else 0
+        last_read.leader = decode(leader.value, Leads) if leader else NO_LEADER
+        await self._learn(last_read.leader)
+        if heartbeat_changed:
+            # A claim depends on the heartbeat's revision: a claim in progress has
+            # either failed or is visible in what was just read.
             self.sent_at = None
         return True
 
-    async def claim(self, ground: Ground) -> Office | None:
-        """Claim the office of the leader that was last read."""
-        # Tied to the revisions that the decision was made on. Read anew here, they
-        # would be those of an entry that has begun to lead meanwhile, whose orders and
-        # agents are alive.
-        seen = self.seen
+    async def claim(self, reason: ClaimReason) -> LeaderLease | None:
+        """Claim leadership after the leader last read; return None without success."""
+        # The claim depends on the revisions that the decision was based on. If they
+        # were read again here, they could be those of a new leader whose orders are
+        # being carried out, and the claim would replace it without a reason.
+        last_read = self.last_read
         leader = Leads(
-            Epoch(seen.leader.epoch + 1),
+            Epoch(last_read.leader.epoch + 1),
             self._identity.node,
             self._identity.incarnation,
-            self._place.host,
-            self._place.port,
+            self._own_info.host,
+            self._own_info.port,
+        )
+        # The end of the previous leader proves nothing about earlier ones, unless it
+        # outlived their leases.
+        predecessors_expired = reason.is_predecessor_stopped and (
+            last_read.heartbeat.predecessors_expired or last_read.leader.epoch == 0
         )
-        # That it acts no more says nothing of those before it, unless it outlived them.
-        alone = ground.sure and (seen.beat.alone or seen.leader.epoch == 0)
         sent_at = self.sent_at = self.sent_at or self._clock()
-        outcome = await self._write_claim(leader, alone)
+        outcome = await self._write_claim(leader, predecessors_expired)
         if not isinstance(outcome, Unknown):
             self.sent_at = None
         if not isinstance(outcome, Written):
@@ -174,39 +190,46 @@
             "Claimed",
             extra={
                 "epoch": leader.epoch,
-                "before": seen.leader.node,
-                "why": ground.value,
-                "alone": alone,
+                "before": last_read.leader.node,
+                "why": reason.value,
+                "alone": predecessors_expired,
             },
         )
         await self._learn(leader)
         revision = outcome.store_revision
-        return Office(
+        return LeaderLease(
             leader.epoch,
             revision,
             revision,
-            sent_at + LEADER_VALID,
+            sent_at + LEADER_LEASE_SECONDS,
             renewed_at=sent_at,
             claimed_at=now,
-            predecessors_until=now if alone else now + PREDECESSOR_SECONDS,
-            alone_revision=revision if alone else None,
+            predecessors_until=now
+            if predecessors_expired
+            else now + PREDECESSOR_LEASE_SECONDS,
+            predecessors_expired_revision=revision if predecessors_expired else None,
         )
 
-    async def _write_claim(self, leader: Leads, alone: bool) -> WriteOutcome:
+    async def _write_claim(
+        self, leader: Leads, predecessors_expired: bool
+    ) -> WriteOutcome:
         compares = [
-            at_revision(LEADER_KEY, self.seen.leader_revision),
-            at_revision(BEAT_KEY, self.seen.beat_revision),
+            at_revision(LEADER_KEY, self.last_read.leader_revision),
+            at_revision(HEARTBEAT_KEY, self.last_read.heartbeat_revision),
             Compare(entry_key(self._identity.node), self._registration),
         ]
-        puts = {LEADER_KEY: encode(leader), BEAT_KEY: encode(Beat(alone))}
+        puts = {
+            LEADER_KEY: encode(leader),
+            HEARTBEAT_KEY: encode(LeaderHeartbeat(predecessors_expired)),
+        }
         outcome = await self._store.write(Txn(compares, puts))
         if isinstance(outcome, Written):
             return outcome
         return await self._settle_claim(leader, outcome)
 
     async def _settle_claim(self, leader: Leads, outcome: WriteOutcome) -> WriteOutcome:
-        # The HTTP library may send a claim twice; the second one then conflicts with
-        # the first. Whose name stands in the key tells who won.
+        # The HTTP library may send a claim twice, and the second one then conflicts
+        # with the first. The value of the leader key shows which entry has won.
         if not isinstance(outcome, Conflict):
             return outcome
         for found in outcome.current:
@@ -217,5 +240,5 @@
 
 
 def at_revision(key: str, revision: int) -> Compare:
-    """Return the condition that a key was last written at a revision; 0: never."""
+    """Return the condition that a key has this `mod_revision`; 0: does not exist."""
     return Compare(key, revision, absent=revision == 0)
--- a/wagtailcleat/cluster/entry_app.py
+++ b/wagtailcleat/cluster/entry_app.py
@@ -6,17 +6,20 @@
 from tornado.httpserver import HTTPServer
 
 from wagtailcleat.clock import boot_time, wall_time
-from wagtailcleat.cluster.keys import Place
+from wagtailcleat.cluster.keys import ProcessInfo
 from wagtailcleat.cluster.leader import Leader
+from wagtailcleat.cluster.leader_lease import LeaderLease
 from wagtailcleat.cluster.leadership import Leadership
-from wagtailcleat.cluster.measures import CallerMeasures, show_scheduler
-from wagtailcleat.cluster.office import Office
+from wagtailcleat.cluster.metrics import CallerMetrics, register_scheduler_metrics
 from wagtailcleat.cluster.operator_watch import OperatorWatch
 from wagtailcleat.cluster.program import Base, make_base, serve_metrics
 from wagtailcleat.cluster.program import main as run
 from wagtailcleat.cluster.settings import EntrySettings, split_address
 from wagtailcleat.cluster.submissions import Submissions
-from wagtailcleat.cluster.timing import CANCEL_ANSWER, QUEUES_WAIT
+from wagtailcleat.cluster.timing import (
+    CANCEL_ANSWER_SECONDS,
+    CONFIGURATION_WATCH_SECONDS,
+)
 from wagtailcleat.errors import Code
 from wagtailcleat.introspection import Kind
 from wagtailcleat.logs import part_logger
@@ -43,12 +46,12 @@
 
 log = part_logger("entry")
 
-BALANCER_NOTICE = 2.3
+BALANCER_NOTICE_SECONDS = 2.3
 """Seconds in which the balancer notices that an entry is no longer ready: it asks
 once a second and passes it over after two misses."""
-STOP_MARGIN = 1.0
+STOP_MARGIN_SECONDS = 1.0
 """Seconds before the end of the grace at which this process ends by itself."""
-QUIET_SECONDS = 0.1
+MIN_CLOSE_SECONDS = 0.1
 BYTES_PER_MEGABIT = 125_000
 
 
@@ -62,13 +65,15 @@
         self.leader: Leader | None = None
         self.stopping = False
         base = self.base
-        place = Place(
+        place = ProcessInfo(
             settings.peer_host,
             settings.peer_port,
             int(base.identity.incarnation),
             settings.cpu_share * settings.cpu_speed,
         )
-        self.operators = OperatorWatch(base.store, wait_seconds=QUEUES_WAIT)
+        self.operators = OperatorWatch(
+            base.store, wait_seconds=CONFIGURATION_WATCH_SECONDS
+        )
         self.leadership = Leadership(
             base.identity,
             place,
@@ -87,7 +92,7 @@
         base.dispatch.add_plain(
             {
                 WhoLeads: self.leadership.who_leads,
-                Leads: self.leadership.leads_now,
+                Leads: self.leadership.leader_announced,
                 KeepFollowing: self.leadership.keep_following,
                 TakeOver: self.leadership.take_over,
                 Submitted: self._submitted,
@@ -99,7 +104,7 @@
         )
         base.dispatch.add({Report: self._report})
         self.advice = AdviceService(settings.advice) if settings.advice else None
-        self.measures = CallerMeasures()
+        self.metrics = CallerMetrics()
         self._servers: list[HTTPServer] = []
         self._add_metrics()
 
@@ -117,7 +122,7 @@
             queues=lambda: self.operators.queues,
             clock=boot_time,
             wall_clock=wall_time,
-            note=self.measures.note,
+            note=self.metrics.record,
         )
         ready = ready_server(self.ready)
         for server, address in (
@@ -136,23 +141,23 @@
     async def stop(self) -> None:
         """Hand over, finish what is in flight, then end."""
         self.stopping = True
-        began = boot_time()
-        await self.leadership.lay_down()
-        await asyncio.sleep(BALANCER_NOTICE)
-        end = began + self.settings.grace - STOP_MARGIN
+        started_at = boot_time()
+        await self.leadership.step_down()
+        await asyncio.sleep(BALANCER_NOTICE_SECONDS)
+        end = started_at + self.settings.grace - STOP_MARGIN_SECONDS
         front = self._servers[0]
         for server in self._servers:
             server.stop()
         try:
-            async with asyncio.timeout(max(QUIET_SECONDS, end - boot_time())):
+            async with asyncio.timeout(max(MIN_CLOSE_SECONDS, end - boot_time())):
                 await front.close_all_connections()
         except TimeoutError:
             log.warning("Requests were in flight at the end of the grace")
         self.base.close()
 
-    async def _lead(self, office: Office) -> None:
+    async def _lead(self, lease: LeaderLease) -> None:
         leader = Leader(
-            office,
+            lease,
             store=self.base.store,
             peers=self.base.peers,
             leadership=self.leadership,
@@ -201,7 +206,7 @@
         leader = self.leader
         if leader is None or not leader.ready:
             return _not_leading()
-        return await leader.cancel(message, CANCEL_ANSWER)
+        return await leader.cancel(message, CANCEL_ANSWER_SECONDS)
 
     async def _count(self, message: AnyMessage) -> AnyMessage:
         assert isinstance(message, CountWaiting)
@@ -211,8 +216,8 @@
         return leader.waiting(message)
 
     def _add_metrics(self) -> None:
-        self.measures.show(self.base.introspection)
-        show_scheduler(
+        self.metrics.register(self.base.introspection)
+        register_scheduler_metrics(
             self.base.introspection,
             lambda: self.leader.scheduler if self.leader else None,
         )
--- a/wagtailcleat/cluster/following.py
+++ b/wagtailcleat/cluster/following.py
@@ -13,10 +13,10 @@
 from wagtailcleat.cluster.checkpoint_delta import CheckpointDelta
 from wagtailcleat.cluster.keys import LEADER_KEY, decode
 from wagtailcleat.cluster.timing import (
-    LOOK_AGAIN,
-    PREDECESSOR_SECONDS,
-    REPORT_EVERY,
-    REPORT_TIMEOUT,
+    LEADER_SEARCH_PAUSE_SECONDS,
+    PREDECESSOR_LEASE_SECONDS,
+    REPORT_INTERVAL_SECONDS,
+    REPORT_TIMEOUT_SECONDS,
 )
 from wagtailcleat.errors import Code
 from wagtailcleat.ids import Epoch
@@ -42,7 +42,7 @@
 
 COALESCE_SECONDS = 0.004
 """Pause before a report that has news, so that ends of one moment go together."""
-ASKED_AT_ONCE = 3
+SEARCHES_PER_STORE_READ = 3
 """Every so many fruitless looks the store is asked too: a call there is priced."""
 
 MakeReport = Callable[[Epoch, int], Report]
@@ -81,7 +81,7 @@
         self._news = asyncio.Event()
         self._announced = asyncio.Event()
         """Set when a leader says that it leads."""
-        self._looks = 0
+        self._searches = 0
         self._started_at = clock()
 
     def __repr__(self) -> str:
@@ -96,7 +96,7 @@
         """Report soon."""
         self._news.set()
 
-    async def leads_now(self, message: AnyMessage) -> AnyMessage:
+    async def leader_announced(self, message: AnyMessage) -> AnyMessage:
         """Follow a leader that announces itself."""
         assert isinstance(message, Leads)
         self._learn(message)
@@ -118,14 +118,14 @@
         """Report to the leader, or look for it, for ever."""
         while True:
             try:
-                async with asyncio.timeout(REPORT_EVERY):
+                async with asyncio.timeout(REPORT_INTERVAL_SECONDS):
                     await self._news.wait()
                 await asyncio.sleep(COALESCE_SECONDS)
             except TimeoutError:
                 pass
             self._news.clear()
             if self._leader is None:
-                await self._look()
+                await self._find_leader()
             leader = self._leader
             if leader is not None and not await self._report(leader):
                 if self._leader is leader:
@@ -137,9 +137,9 @@
         if isinstance(stream, Lost):
             return False
         sent_at = self._clock()
-        whole = self._make_report(self.epoch, self._orders_taken)
-        report = self._delta.shorten(whole)
-        answer = await stream.call(report, timeout=REPORT_TIMEOUT)
+        full_report = self._make_report(self.epoch, self._orders_taken)
+        report = self._delta.shorten(full_report)
+        answer = await stream.call(report, timeout=REPORT_TIMEOUT_SECONDS)
         if isinstance(answer, Lost):
             self._delta.lost()
             # Orders that are held up on this connection must not be taken later.
@@ -148,7 +148,7 @@
         if isinstance(answer, FollowFirst):
             return await self._follow(answer.epoch)
         if isinstance(answer, Refused) and answer.code == Code.RESTORING.value:
-            await self._until_announced()
+            await self._wait_until_announced()
             self._news.set()
             return True
         if not isinstance(answer, ReportTaken) or answer.epoch != self.epoch:
@@ -165,17 +165,17 @@
         self._on_answer(report)
         return True
 
-    async def _until_announced(self) -> None:
+    async def _wait_until_announced(self) -> None:
         # A leader that restores its book takes no reports yet and says when it does.
         # All agents reporting again at once would fill the link that it restores over.
         self._announced.clear()
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(LOOK_AGAIN):
+            async with asyncio.timeout(LEADER_SEARCH_PAUSE_SECONDS):
                 await self._announced.wait()
 
     async def _follow(self, epoch: Epoch) -> bool:
         """Follow a later epoch and report soon; tell whether it may be followed."""
-        if epoch <= self.epoch or not await self._surely_last(epoch):
+        if epoch <= self.epoch or not await self._is_latest_epoch(epoch):
             return False
         log.info("Follows", extra={"epoch": epoch})
         self.epoch = epoch
@@ -184,12 +184,12 @@
         self._news.set()
         return True
 
-    async def _surely_last(self, epoch: Epoch) -> bool:
+    async def _is_latest_epoch(self, epoch: Epoch) -> bool:
         # A leader may count on it that an agent it has heard takes no older orders. An
         # earlier life of this process may have been heard just before it ended, and the
         # leader before that one may still act: until it surely does not, the store
         # tells which epoch is the last.
-        if self._clock() - self._started_at > PREDECESSOR_SECONDS:
+        if self._clock() - self._started_at > PREDECESSOR_LEASE_SECONDS:
             return True
         found = await self._store.get(LEADER_KEY)
         if not isinstance(found, Found):
@@ -207,24 +207,24 @@
         self._leader = leader
         self._news.set()
 
-    async def _look(self) -> None:
-        self._looks += 1
+    async def _find_leader(self) -> None:
+        self._searches += 1
         for host, port in self._candidates():
             answer = await self._peers.call(
-                host, port, WhoLeads(), timeout=REPORT_TIMEOUT
+                host, port, WhoLeads(), timeout=REPORT_TIMEOUT_SECONDS
             )
             if isinstance(answer, Leads) and answer.epoch:
                 self._learn(answer)
                 if self._leader is not None:
                     return
-        if self._looks % ASKED_AT_ONCE == 0:
+        if self._searches % SEARCHES_PER_STORE_READ == 0:
             await self._ask_store()
-        await asyncio.sleep(LOOK_AGAIN)
+        await asyncio.sleep(LEADER_SEARCH_PAUSE_SECONDS)
 
     def _candidates(self) -> Iterator[tuple[str, int]]:
         # One a look, in turn: an entry that is cut off must not hold up the search.
         if self._entries:
-            yield self._entries[self._looks % len(self._entries)]
+            yield self._entries[self._searches % len(self._entries)]
 
     async def _ask_store(self) -> None:
         found = await self._store.get(LEADER_KEY)
--- a/wagtailcleat/cluster/hosting.py
+++ b/wagtailcleat/cluster/hosting.py
@@ -13,12 +13,12 @@
 from wagtailcleat.clock import Clock
 from wagtailcleat.cluster.settings import split_address
 from wagtailcleat.cluster.timing import (
-    CLOCK_DRIFT,
-    LIST_WAIT,
-    RUN_HORIZON,
-    RUN_LEASE,
-    WORKER_CALL,
-    WORKER_SILENT,
+    CLOCK_DRIFT_FACTOR,
+    LIST_WAIT_SECONDS,
+    RUN_CONTACT_LIMIT_SECONDS,
+    RUN_LEASE_SECONDS,
+    WORKER_CALL_SECONDS,
+    WORKER_SILENT_SECONDS,
 )
 from wagtailcleat.ids import ZoneName
 from wagtailcleat.logs import part_logger
@@ -45,16 +45,16 @@
 log = part_logger("hosting")
 
 MILLISECONDS = 1000
-RETRY_SECONDS = 0.1
+RETRY_PAUSE_SECONDS = 0.1
 """Pause after a call to the worker that failed."""
-SHORTEST_LOOK = 0.05
+MIN_LIST_INTERVAL_SECONDS = 0.05
 """Shortest time between two lists: one that names an end already known returns at
 once."""
-CLOSE_SECONDS = 3.0
+CLOSE_DELAY_SECONDS = 3.0
 """When the connections to an earlier life are closed: its calls have all timed out."""
-REFUSALS_TO_END = 3
+REFUSALS_UNTIL_LOST = 3
 """Connections refused in a row, a tenth of a second apart, that show a dead worker."""
-LAPSE_SLACK = 0.2
+LEASE_EXPIRY_MARGIN_SECONDS = 0.2
 """How much longer than its lease a run is taken to go on, in seconds."""
 FRESH_LISTS = 2
 """Lists begun after an order was answered show its effect; the one that was under
@@ -62,7 +62,7 @@
 
 
 @dataclass(eq=False)
-class _Life:
+class _WorkerIncarnation:
     """One life of the worker, and this process's orders to it."""
 
     worker: RunWorker
@@ -81,7 +81,7 @@
     acknowledged: int = 0
     lease_until: float = 0.0
     """When the leases end at the latest, on this VM's clock."""
-    lapsed: bool = False
+    runs_lost: bool = False
     refusals: int = 0
     """Connections refused in a row."""
 
@@ -96,7 +96,7 @@
         own_host: str,
         lease_limit: float,
         may_start: Callable[[], bool],
-        contact: Callable[[], float],
+        leader_contact_at: Callable[[], float],
         zone_out: Callable[[ZoneName], bool],
         on_change: Callable[[], None],
     ) -> None:
@@ -104,7 +104,7 @@
 
         Parameters: `own_host` is the address of this VM; `lease_limit` is the
         longest lease that the platform grants; `may_start` tells whether the leader's
-        orders hold now; `contact` returns when the leader was last reached;
+        orders hold now; `leader_contact_at` returns when the leader was last reached;
         `on_change` is called when there is news.
         """
         self.info: WorkerInfo | None = None
@@ -114,14 +114,14 @@
         self.refusal_by_run: dict[RunKey, Refusal] = {}
         self._clock = clock
         self._own_host = own_host
-        self._lease = min(RUN_LEASE, lease_limit)
+        self._lease = min(RUN_LEASE_SECONDS, lease_limit)
         self._may_start = may_start
-        self._contact = contact
+        self._leader_contact_at = leader_contact_at
         self._zone_out = zone_out
         self._on_change = on_change
-        self._life: _Life | None = None
+        self._incarnation: _WorkerIncarnation | None = None
         self._sequence = -1
-        self._heard = asyncio.Event()
+        self._worker_known = asyncio.Event()
         self._listed = asyncio.Condition()
         self._work: set[asyncio.Task[None]] = set()
 
@@ -134,55 +134,60 @@
     @property
     def listed(self) -> bool:
         """Whether the worker has shown in this life what runs."""
-        return self._life is not None and (self._life.lists > 0 or self._life.lapsed)
+        return self._incarnation is not None and (
+            self._incarnation.lists > 0 or self._incarnation.runs_lost
+        )
 
     @property
     def running(self) -> list[Running]:
         """What runs, as last listed."""
-        return self._life.running if self._life else []
+        return self._incarnation.running if self._incarnation else []
 
     @property
     def ended(self) -> list[Ended]:
         """Ends not yet acknowledged, as last listed."""
-        return self._life.ended if self._life else []
+        return self._incarnation.ended if self._incarnation else []
 
     @property
     def ends_whole(self) -> bool:
         """Whether `ended` has every end."""
-        return self._life is None or self._life.ends_whole
+        return self._incarnation is None or self._incarnation.ends_whole
 
     @property
     def refusals(self) -> int:
         """Connections that the worker's port refused in a row."""
-        return self._life.refusals if self._life else 0
+        return self._incarnation.refusals if self._incarnation else 0
 
     def silent_seconds(self, now: float) -> float:
         """Return for how long the worker has not answered; 0 while it does."""
-        if self._life is None or not self._life.lists:
+        if self._incarnation is None or not self._incarnation.lists:
             return 0.0
-        silent = now - self._life.listed_at
-        if self._life.lapsed:
+        silent = now - self._incarnation.listed_at
+        if self._incarnation.runs_lost:
             # Its runs were given up: to the leader the VM would look free, and what it
             # started there would be in doubt until the worker comes back, if ever.
-            return max(silent, WORKER_SILENT)
-        return silent if silent > WORKER_SILENT else 0.0
+            return max(silent, WORKER_SILENT_SECONDS)
+        return silent if silent > WORKER_SILENT_SECONDS else 0.0
 
     def lease_seconds(self, now: float) -> float:
         """Return for how long runs may go on, at most, without a renewal."""
-        if self._life is None:
+        if self._incarnation is None:
             return 0.0
-        return max(0.0, self._life.lease_until - now)
+        return max(0.0, self._incarnation.lease_until - now)
 
     # ---- heartbeats
 
-    async def beat(self, heartbeat: Heartbeat) -> None:
+    async def take_heartbeat(self, heartbeat: Heartbeat) -> None:
         """Take in a heartbeat; a late one of an earlier life is passed over."""
         worker = heartbeat.worker
-        life = self._life
-        if life is not None and worker.born < life.born:
+        incarnation = self._incarnation
+        if incarnation is not None and worker.born < incarnation.born:
             log.info("Late heartbeat", extra={"worker": worker.id})
             return
-        new = life is None or (worker.born, worker.id) != (life.born, life.instance)
+        new = incarnation is None or (worker.born, worker.id) != (
+            incarnation.born,
+            incarnation.instance,
+        )
         if not new and heartbeat.sequence <= self._sequence:
             return
         self._sequence = heartbeat.sequence
@@ -191,13 +196,13 @@
         changed = self.info is None or worker.state is not self.info.state
         self.info = worker
         if new:
-            self._begin_life(heartbeat)
+            self._begin_incarnation(heartbeat)
         if changed or new:
             self._on_change()
 
     async def leave(self, instance: str, born: int) -> None:
         """Note that the worker has left for good, in the life that was born then."""
-        if self._life is not None and 0 < born < self._life.born:
+        if self._incarnation is not None and 0 < born < self._incarnation.born:
             # Held up on its way: the next life runs work, which would count as gone
             # and start elsewhere while it goes on.
             log.info("Late leave", extra={"worker": instance})
@@ -206,11 +211,11 @@
         if self.info is not None and self.info.id == instance:
             self.info = None
             self.left = True
-            self._end_life()
+            self._end_incarnation()
             self._on_change()
 
-    def _begin_life(self, heartbeat: Heartbeat) -> None:
-        self._end_life()
+    def _begin_incarnation(self, heartbeat: Heartbeat) -> None:
+        self._end_incarnation()
         self.left = False
         worker = heartbeat.worker
         fence = worker.born + int(heartbeat.worker_seconds * MILLISECONDS)
@@ -218,21 +223,26 @@
             "Worker began",
             extra={"worker": worker.id, "born": worker.born, "fence": fence},
         )
-        self._life = _Life(
+        self._incarnation = _WorkerIncarnation(
             RunWorker(
-                heartbeat.address, worker.id, fence=fence, call_seconds=WORKER_CALL
+                heartbeat.address,
+                worker.id,
+                fence=fence,
+                call_seconds=WORKER_CALL_SECONDS,
             ),
             worker.born,
             heartbeat.address,
             worker.id,
         )
-        self._heard.set()
+        self._worker_known.set()
 
-    def _end_life(self) -> None:
-        if self._life is None:
+    def _end_incarnation(self) -> None:
+        if self._incarnation is None:
             return
-        asyncio.get_running_loop().call_later(CLOSE_SECONDS, self._life.worker.close)
-        self._life = None
+        asyncio.get_running_loop().call_later(
+            CLOSE_DELAY_SECONDS, self._incarnation.worker.close
+        )
+        self._incarnation = None
         for task in self._work:
             task.cancel()
         self.unsettled_by_run.clear()
@@ -243,105 +253,115 @@
     async def run(self) -> None:
         """Renew leases and list runs, for ever."""
         while True:
-            await self._heard.wait()
-            life = self._life
-            if life is None:
-                self._heard.clear()
+            await self._worker_known.wait()
+            incarnation = self._incarnation
+            if incarnation is None:
+                self._worker_known.clear()
                 continue
-            began = self._clock()
-            if await self._look(life):
-                await asyncio.sleep(max(0.0, began + SHORTEST_LOOK - self._clock()))
+            started_at = self._clock()
+            if await self._list_runs(incarnation):
+                await asyncio.sleep(
+                    max(0.0, started_at + MIN_LIST_INTERVAL_SECONDS - self._clock())
+                )
             else:
-                self._lapse(life)
-                await asyncio.sleep(RETRY_SECONDS)
+                self._lose_runs_after_lease(incarnation)
+                await asyncio.sleep(RETRY_PAUSE_SECONDS)
 
-    async def _look(self, life: _Life) -> bool:
+    async def _list_runs(self, incarnation: _WorkerIncarnation) -> bool:
         sent_at = self._clock()
-        until = self._lease_until(life, sent_at)
+        until = self._lease_until(incarnation, sent_at)
         if until is not None:
-            life.lease_until = max(life.lease_until, until)
-        answer = await life.worker.list(
-            acknowledged=life.acknowledged,
-            until=None if until is None else until + life.offset,
-            wait_seconds=LIST_WAIT if life.lists else 0.0,
+            incarnation.lease_until = max(incarnation.lease_until, until)
+        answer = await incarnation.worker.list(
+            acknowledged=incarnation.acknowledged,
+            until=None if until is None else until + incarnation.offset,
+            wait_seconds=LIST_WAIT_SECONDS if incarnation.lists else 0.0,
         )
-        if self._life is not life:
+        if self._incarnation is not incarnation:
             return False
         if isinstance(answer, RunList):
-            return await self._take_list(life, answer)
+            return await self._apply_list(incarnation, answer)
         if isinstance(answer, Stale):
-            life.worker.fence = life.born + int(answer.worker_seconds * MILLISECONDS)
-            log.warning("Fence was stale", extra={"fence": life.worker.fence})
+            incarnation.worker.fence = incarnation.born + int(
+                answer.worker_seconds * MILLISECONDS
+            )
+            log.warning("Fence was stale", extra={"fence": incarnation.worker.fence})
         elif isinstance(answer, OtherLife):
-            log.warning("Another life answers", extra={"worker": life.instance})
-        elif answer is NoAnswer.REFUSED and life.lists:
-            self._note_refused(life)
+            log.warning("Another life answers", extra={"worker": incarnation.instance})
+        elif answer is NoAnswer.REFUSED and incarnation.lists:
+            self._note_refused(incarnation)
         return False
 
-    def _note_refused(self, life: _Life) -> None:
+    def _note_refused(self, incarnation: _WorkerIncarnation) -> None:
         # This VM's own kernel refuses only where no process listens: what the worker
         # ran is gone with it. For any other address a network in between may refuse
         # while the worker runs on, and its tasks would start a second time elsewhere:
         # there its leases must lapse first.
-        life.refusals += 1
-        if split_address(life.address)[0] != self._own_host:
+        incarnation.refusals += 1
+        if split_address(incarnation.address)[0] != self._own_host:
             return
-        if life.refusals >= REFUSALS_TO_END and not life.lapsed:
-            self._lose_runs(life, "nobody listens at its port")
+        if incarnation.refusals >= REFUSALS_UNTIL_LOST and not incarnation.runs_lost:
+            self._lose_runs(incarnation, "nobody listens at its port")
 
-    def _lease_until(self, life: _Life, now: float) -> float | None:
-        if not life.lists or now - life.listed_at > WORKER_SILENT:
+    def _lease_until(self, incarnation: _WorkerIncarnation, now: float) -> float | None:
+        if not incarnation.lists or now - incarnation.listed_at > WORKER_SILENT_SECONDS:
             # A call without an answer may renew all the same: what runs at a silent
             # worker would count as running for as long as the worker is silent.
             return None
-        until = min(now + self._lease, self._contact() + RUN_HORIZON)
+        until = min(
+            now + self._lease, self._leader_contact_at() + RUN_CONTACT_LIMIT_SECONDS
+        )
         return until if until > now else None
 
-    async def _take_list(self, life: _Life, answer: RunList) -> bool:
+    async def _apply_list(
+        self, incarnation: _WorkerIncarnation, answer: RunList
+    ) -> bool:
         now = self._clock()
-        if answer.born and answer.born != life.born:
-            log.warning("Worker was born anew", extra={"worker": life.instance})
+        if answer.born and answer.born != incarnation.born:
+            log.warning("Worker was born anew", extra={"worker": incarnation.instance})
             return False
-        life.offset = answer.worker_seconds - now
-        news = not life.lists or (
+        incarnation.offset = answer.worker_seconds - now
+        changed = not incarnation.lists or (
             [ended.number for ended in answer.ended]
-            != [ended.number for ended in life.ended]
+            != [ended.number for ended in incarnation.ended]
         )
-        known = {running.key for running in life.running}
-        news = news or known != {running.key for running in answer.running}
-        life.running = answer.running
-        life.ended = answer.ended
-        life.ends_whole = answer.ends_whole
-        life.lists += 1
-        life.listed_at = now
-        life.lapsed = False
-        life.refusals = 0
-        if life.lists == 1:
-            longest = self._lease * CLOCK_DRIFT
-            life.lease_until = max(life.lease_until, now + longest)
+        known_runs = {running.key for running in incarnation.running}
+        changed = changed or known_runs != {running.key for running in answer.running}
+        incarnation.running = answer.running
+        incarnation.ended = answer.ended
+        incarnation.ends_whole = answer.ends_whole
+        incarnation.lists += 1
+        incarnation.listed_at = now
+        incarnation.runs_lost = False
+        incarnation.refusals = 0
+        if incarnation.lists == 1:
+            lease_seconds = self._lease * CLOCK_DRIFT_FACTOR
+            incarnation.lease_until = max(incarnation.lease_until, now + lease_seconds)
         async with self._listed:
             self._listed.notify_all()
-        if news:
+        if changed:
             self._on_change()
         return True
 
-    def _lapse(self, life: _Life) -> None:
+    def _lose_runs_after_lease(self, incarnation: _WorkerIncarnation) -> None:
         # A worker that is cut off kills what it runs when the leases end. A start
         # that still reaches it names a lease that has ended, and is refused.
         now = self._clock()
-        if life.lapsed or not life.lists:
+        if incarnation.runs_lost or not incarnation.lists:
             return
-        longest = (life.lease_until - life.listed_at) * CLOCK_DRIFT + LAPSE_SLACK
-        if now < life.listed_at + longest:
+        lease_seconds = (
+            incarnation.lease_until - incarnation.listed_at
+        ) * CLOCK_DRIFT_FACTOR + LEASE_EXPIRY_MARGIN_SECONDS
+        if now < incarnation.listed_at + lease_seconds:
             return
-        self._lose_runs(life, "its leases have lapsed")
+        self._lose_runs(incarnation, "its leases have lapsed")
 
-    def _lose_runs(self, life: _Life, why: str) -> None:
-        life.lapsed = True
-        life.running = []
+    def _lose_runs(self, incarnation: _WorkerIncarnation, why: str) -> None:
+        incarnation.runs_lost = True
+        incarnation.running = []
         # Ends that had no place in its last list will not be told any more.
-        life.ends_whole = True
-        log.warning("Runs are lost", extra={"worker": life.instance, "why": why})
+        incarnation.ends_whole = True
+        log.warning("Runs are lost", extra={"worker": incarnation.instance, "why": why})
         for task in self._work:
             task.cancel()
         for key in list(self.unsettled_by_run):
@@ -367,9 +387,9 @@
 
     def acknowledge(self, born: int, number: int) -> None:
         """Let the worker forget its ends up to `number`."""
-        life = self._life
-        if life is not None and life.born == born:
-            life.acknowledged = max(life.acknowledged, number)
+        incarnation = self._incarnation
+        if incarnation is not None and incarnation.born == born:
+            incarnation.acknowledged = max(incarnation.acknowledged, number)
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.create_task(work)
@@ -392,72 +412,86 @@
         )
 
     async def _start(self, start: Start) -> None:
-        life = self._life
-        if life is None or not life.lists or life.lapsed or not self._startable():
+        incarnation = self._incarnation
+        if (
+            incarnation is None
+            or not incarnation.lists
+            or incarnation.runs_lost
+            or not self._startable()
+        ):
             self._refuse(start.key, Refusal.NOT_ALLOWED)
             return
         now = self._clock()
-        until = self._lease_until(life, now)
+        until = self._lease_until(incarnation, now)
         if until is None:
             self._refuse(start.key, Refusal.NOT_ALLOWED)
             return
-        life.lease_until = max(life.lease_until, until)
-        outcome = await life.worker.start(start, until=until + life.offset)
+        incarnation.lease_until = max(incarnation.lease_until, until)
+        outcome = await incarnation.worker.start(
+            start, until=until + incarnation.offset
+        )
         if isinstance(outcome, Refusal):
             self._refuse(start.key, outcome)
         elif isinstance(outcome, OtherLife):
             self._refuse(start.key, Refusal.NEVER_RAN)
         elif outcome is StartOutcome.STARTED:
-            await self._settle(life, start.key)
+            await self._wait_until_listed(incarnation, start.key)
         else:
             log.info("Start without an answer", extra={"run": str(start.key)})
-            await self._settle_unknown(life, start.key)
+            await self._resolve_unknown_start(incarnation, start.key)
 
-    async def _settle(self, life: _Life, key: RunKey) -> bool:
+    async def _wait_until_listed(
+        self, incarnation: _WorkerIncarnation, key: RunKey
+    ) -> bool:
         """Wait for lists that surely show the run; tell whether they do."""
-        wanted = life.lists + FRESH_LISTS
+        wanted = incarnation.lists + FRESH_LISTS
         async with self._listed:
             await self._listed.wait_for(
-                lambda: _surely_listed(life, wanted) or _shows(life, key)
+                lambda: (
+                    _is_list_complete(incarnation, wanted)
+                    or _is_listed(incarnation, key)
+                )
             )
         self.unsettled_by_run.pop(key, None)
-        return _shows(life, key)
+        return _is_listed(incarnation, key)
 
-    async def _settle_unknown(self, life: _Life, key: RunKey) -> None:
+    async def _resolve_unknown_start(
+        self, incarnation: _WorkerIncarnation, key: RunKey
+    ) -> None:
         # The start may be carried out seconds later. A stop closes the run for good:
         # the worker then refuses it, or ends it if it came first.
         async with self._listed:
-            if _shows(life, key):
+            if _is_listed(incarnation, key):
                 self.unsettled_by_run.pop(key, None)
                 return
         await self._stop(key)
-        wanted = life.lists + FRESH_LISTS
+        wanted = incarnation.lists + FRESH_LISTS
         async with self._listed:
-            await self._listed.wait_for(lambda: _surely_listed(life, wanted))
-        if _shows(life, key):
+            await self._listed.wait_for(lambda: _is_list_complete(incarnation, wanted))
+        if _is_listed(incarnation, key):
             self.unsettled_by_run.pop(key, None)
         else:
             self._refuse(key, Refusal.NEVER_RAN)
 
     async def _stop(self, key: RunKey) -> None:
-        life = self._life
-        while life is not None and life is self._life:
-            if await life.worker.stop(key):
+        incarnation = self._incarnation
+        while incarnation is not None and incarnation is self._incarnation:
+            if await incarnation.worker.stop(key):
                 return
-            await asyncio.sleep(RETRY_SECONDS)
+            await asyncio.sleep(RETRY_PAUSE_SECONDS)
 
     async def _pace(self, pace: Pace) -> None:
-        life = self._life
-        if life is not None:
-            await life.worker.pace(pace.key, pace.percent)
+        incarnation = self._incarnation
+        if incarnation is not None:
+            await incarnation.worker.pace(pace.key, pace.percent)
 
 
-def _surely_listed(life: _Life, wanted: int) -> bool:
+def _is_list_complete(incarnation: _WorkerIncarnation, wanted: int) -> bool:
     # A run whose end had no place in the list is not one that never ran.
-    return life.lists >= wanted and life.ends_whole
+    return incarnation.lists >= wanted and incarnation.ends_whole
 
 
-def _shows(life: _Life, key: RunKey) -> bool:
-    return any(running.key == key for running in life.running) or any(
-        ended.key == key for ended in life.ended
+def _is_listed(incarnation: _WorkerIncarnation, key: RunKey) -> bool:
+    return any(running.key == key for running in incarnation.running) or any(
+        ended.key == key for ended in incarnation.ended
     )
--- a/wagtailcleat/cluster/learnt.py
+++ b/wagtailcleat/cluster/interference_store.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from wagtailcleat.cluster.keys import LEADER_KEY, LEARNT_KEY, decode, encode
-from wagtailcleat.cluster.office import Office
+from wagtailcleat.cluster.keys import INTERFERENCE_KEY, LEADER_KEY, decode, encode
+from wagtailcleat.cluster.leader_lease import LeaderLease
 from wagtailcleat.logs import part_logger
 from wagtailcleat.platform.keyvalue import KeyValueStore
 from wagtailcleat.scheduling.interference import Interference, Learnt
@@ -16,13 +16,13 @@
 
 log = part_logger("leader")
 
-RETRY_SECONDS = 0.5
-KEEP_SECONDS = 4.0
+RETRY_PAUSE_SECONDS = 0.5
+WRITE_INTERVAL_SECONDS = 4.0
 """Pause between two writes: each is a priced call, and pairs are known in seconds."""
 
 
-async def keep_learnt(
-    interference: Interference, office: Office, store: KeyValueStore
+async def persist_interference(
+    interference: Interference, lease: LeaderLease, store: KeyValueStore
 ) -> None:
     """Take over what earlier leaders learnt, then store what is learnt, for ever."""
     await _restore(interference, store)
@@ -30,17 +30,19 @@
     while True:
         learnt = interference.learnt()
         if learnt != stored:
-            mine = Compare(LEADER_KEY, office.leader_revision)
-            await store.write(Txn([mine], {LEARNT_KEY: encode(learnt)}))
+            leader_unchanged = Compare(LEADER_KEY, lease.leader_revision)
+            await store.write(
+                Txn([leader_unchanged], {INTERFERENCE_KEY: encode(learnt)})
+            )
             stored = learnt
-        await asyncio.sleep(KEEP_SECONDS)
+        await asyncio.sleep(WRITE_INTERVAL_SECONDS)
 
 
 async def _restore(interference: Interference, store: KeyValueStore) -> None:
-    found = await store.get(LEARNT_KEY)
+    found = await store.get(INTERFERENCE_KEY)
     while isinstance(found, Unavailable):
-        await asyncio.sleep(RETRY_SECONDS)
-        found = await store.get(LEARNT_KEY)
+        await asyncio.sleep(RETRY_PAUSE_SECONDS)
+        found = await store.get(INTERFERENCE_KEY)
     if not isinstance(found, Found):
         return
     try:
--- a/wagtailcleat/cluster/jobs.py
+++ b/wagtailcleat/cluster/jobs.py
@@ -13,8 +13,8 @@
     job_key,
     record_key,
 )
-from wagtailcleat.cluster.office import Office
-from wagtailcleat.cluster.timing import JOBS_WAIT
+from wagtailcleat.cluster.leader_lease import LeaderLease
+from wagtailcleat.cluster.timing import JOBS_WATCH_SECONDS
 from wagtailcleat.ids import JobId
 from wagtailcleat.logs import part_logger
 from wagtailcleat.platform.keyvalue import KeyValueStore
@@ -33,7 +33,7 @@
 
 log = part_logger("leader")
 
-RETRY_SECONDS = 0.2
+RETRY_PAUSE_SECONDS = 0.2
 """Pause after a call to the store that failed."""
 
 
@@ -42,7 +42,7 @@
 
     def __init__(
         self,
-        office: Office,
+        lease: LeaderLease,
         scheduler: Scheduler,
         *,
         store: KeyValueStore,
@@ -52,7 +52,7 @@
         on_cancel: Callable[[], None],
     ) -> None:
         """Wire it; `on_change` is called with each key, `on_cancel` as a job ends."""
-        self._office = office
+        self._lease = lease
         self._scheduler = scheduler
         self._store = store
         self._clock = clock
@@ -61,7 +61,7 @@
         self._on_cancel = on_cancel
         self._revision = 0
         """Of the store, up to which all is taken in."""
-        self._gone: set[JobId] = set()
+        self._absent_jobs: set[JobId] = set()
         """Jobs that the store does not have, although runs of them were listed."""
 
     def __repr__(self) -> str:
@@ -70,8 +70,8 @@
 
     async def restore(self) -> None:
         """Take in all jobs and what is stored of their progress."""
-        jobs = await listed(self._store, JOB_PREFIX, self._clock)
-        records = await listed(self._store, RECORD_PREFIX, self._clock)
+        jobs = await list_until_answered(self._store, JOB_PREFIX, self._clock)
+        records = await list_until_answered(self._store, RECORD_PREFIX, self._clock)
         self._revision = jobs.store_revision
         found_by_key = {found.key: found for found in records.found}
         for found in jobs.found:
@@ -80,7 +80,7 @@
                 record = found_by_key.get(record_key(job))
                 self.add(job, found.value, found.mod_revision, record)
         for found in jobs.found:
-            self._take_key(found.key, found.value, found.mod_revision)
+            self._apply_key(found.key, found.value, found.mod_revision)
 
     def add(
         self, job: JobId, data: bytes, revision: int, record: Found | None = None
@@ -97,12 +97,12 @@
             )
             # An earlier leader may have started it at an agent not heard of yet.
             entry.settled = not self._scheduler.unheard
-        alone_from = self._office.alone_revision
+        alone_from = self._lease.predecessors_expired_revision
         if alone_from is not None and revision > alone_from:
             entry.settled = True
         return entry
 
-    async def known(self, report: Report) -> bool:
+    async def load_reported_jobs(self, report: Report) -> bool:
         """Learn of the jobs whose runs a report names; False if one is in doubt.
 
         A leader before may have started a job that this one's watch has not told of
@@ -111,16 +111,16 @@
         """
         keys = [running.key for running in report.running]
         keys += [ended.key for ended in report.ended] + report.unsettled
-        known = self._scheduler.book.entry_by_id
+        load_reported_jobs = self._scheduler.book.entry_by_id
         for job in {key.task.job for key in keys}:
-            if job in known or job in self._gone:
+            if job in load_reported_jobs or job in self._absent_jobs:
                 continue
             # It was stored before it was started, so that the store has it by now.
             found = await self._store.get(job_key(job))
             if isinstance(found, Unavailable):
                 return False
             if isinstance(found, Absent):
-                self._gone.add(job)
+                self._absent_jobs.add(job)
                 continue
             self.add(job, found.value, found.mod_revision)
         return True
@@ -129,27 +129,29 @@
         """Take in what is stored, for ever."""
         while True:
             changes = await self._store.changes(
-                JOB_PREFIX, self._revision, wait_seconds=JOBS_WAIT
+                JOB_PREFIX, self._revision, wait_seconds=JOBS_WATCH_SECONDS
             )
             if isinstance(changes, Changes):
                 for event in changes.events:
                     if event.value is not None:
-                        self._take_key(event.key, event.value, event.mod_revision)
+                        self._apply_key(event.key, event.value, event.mod_revision)
                 self._revision = max(self._revision, changes.store_revision)
             elif isinstance(changes, HistoryGone):
-                listing = await listed(self._store, JOB_PREFIX, self._clock)
+                listing = await list_until_answered(
+                    self._store, JOB_PREFIX, self._clock
+                )
                 for found in listing.found:
-                    self._take_key(found.key, found.value, found.mod_revision)
+                    self._apply_key(found.key, found.value, found.mod_revision)
                 self._revision = listing.store_revision
             else:
-                await asyncio.sleep(RETRY_SECONDS)
+                await asyncio.sleep(RETRY_PAUSE_SECONDS)
 
-    def _take_key(self, key: str, value: bytes, revision: int) -> None:
+    def _apply_key(self, key: str, value: bytes, revision: int) -> None:
         if not key.endswith(CANCELLED):
             job = JobId(key.removeprefix(JOB_PREFIX))
-            known = self._scheduler.book.entry_by_id.get(job)
-            settled = known is not None and known.settled
-            if self.add(job, value, revision) is known and settled:
+            load_reported_jobs = self._scheduler.book.entry_by_id.get(job)
+            settled = load_reported_jobs is not None and load_reported_jobs.settled
+            if self.add(job, value, revision) is load_reported_jobs and settled:
                 return
         else:
             job = JobId(key.removeprefix(JOB_PREFIX).removesuffix(CANCELLED))
@@ -158,7 +160,9 @@
         self._on_change()
 
 
-async def listed(store: KeyValueStore, prefix: str, clock: Clock) -> Listing:
+async def list_until_answered(
+    store: KeyValueStore, prefix: str, clock: Clock
+) -> Listing:
     """Return all keys under a prefix, once the store answers."""
     started_at = clock()
     for tries in count(1):
@@ -174,5 +178,5 @@
             log.info("Listed", extra=fields)
             return listing
         log.warning("Not listed yet", extra=fields | {"why": listing.reason})
-        await asyncio.sleep(RETRY_SECONDS)
+        await asyncio.sleep(RETRY_PAUSE_SECONDS)
     raise AssertionError("counting has ended")
--- a/wagtailcleat/cluster/keys.py
+++ b/wagtailcleat/cluster/keys.py
@@ -1,4 +1,4 @@
-"""The project's own keys in the platform's store, and how their values are coded."""
+"""Keys of this project in the platform's store, and the encoding of their values."""
 
 from typing import TypeVar
 
@@ -8,60 +8,68 @@
 
 ROOT = "wagtailcleat/"
 LEADER_KEY = ROOT + "leader/epoch"
-"""Who leads; changes with each leader only, so that its writes can be tied to it."""
-BEAT_KEY = ROOT + "leader/beat"
-"""Rewritten by the leader as long as it lives."""
+"""Names the leader.
+
+Only a new leader changes it, so a leader's writes are conditional on its revision.
+"""
+HEARTBEAT_KEY = ROOT + "leader/beat"
+"""Rewritten by the leader with each renewal of its lease."""
 LEADER_PREFIX = ROOT + "leader/"
 ENTRY_PREFIX = ROOT + "entries/"
 AGENT_PREFIX = ROOT + "agents/"
-"""Agents that may run tasks: a new leader waits for each."""
+"""Agents that may run tasks; a new leader waits for a report from each of them."""
 JOB_PREFIX = ROOT + "jobs/"
-"""What callers handed in: a job, and whether it was cancelled."""
-LEARNT_KEY = ROOT + "learnt"
-"""What the leader has learnt of images that share VMs."""
+"""Submitted jobs, and a key for each job that was cancelled."""
+INTERFERENCE_KEY = ROOT + "learnt"
+"""Interference that the leader has measured between images that share VMs."""
 RECORD_PREFIX = ROOT + "progress/"
-"""Written by the leader only."""
+"""Progress of jobs; written by the leader only."""
 CANCELLED = "/cancelled"
 
 
-class Place(msgspec.Struct, frozen=True, array_like=True):
-    """Where a process is reached by its peers."""
+class ProcessInfo(msgspec.Struct, frozen=True, array_like=True):
+    """Address, incarnation and weight of a process, as its peers know them."""
 
     host: str
     port: int
     incarnation: int
     weight: float = 1.0
-    """Cores that an entry may use: one with more of them leads with less delay."""
+    """Cores that an entry may use; an entry with more of them leads with less delay."""
 
 
-class Beat(msgspec.Struct, frozen=True, array_like=True):
-    """What the leader says of itself with each renewal."""
+class LeaderHeartbeat(msgspec.Struct, frozen=True, array_like=True):
+    """What the leader states with each renewal of its lease."""
 
-    alone: bool = False
-    """Whether no earlier leader may act any more."""
-    laid_down: bool = False
-    """Whether it acts no more: any entry may claim."""
+    predecessors_expired: bool = False
+    """Whether the leases of all earlier leaders have expired."""
+    stepped_down: bool = False
+    """Whether this leader no longer acts, so that any entry may claim."""
 
 
 T = TypeVar("T")
 
 
 def encode(value: object) -> bytes:
-    """Return the stored form of a value."""
+    """Return a value as msgpack."""
     return msgspec.msgpack.encode(value)
 
 
 def decode(data: bytes, kind: type[T]) -> T:
-    """Return the value of a stored form."""
+    """Return the value of type `kind` that `data` holds.
+
+    Raises:
+        msgspec.MsgspecError: if `data` is not such a value.
+
+    """
     return msgspec.msgpack.decode(data, type=kind)
 
 
-def decode_beat(data: bytes) -> Beat:
-    """Return the beat of a stored form; one of another version says nothing."""
+def decode_leader_heartbeat(data: bytes) -> LeaderHeartbeat:
+    """Return the stored heartbeat; the default where another version wrote it."""
     try:
-        return decode(data, Beat)
+        return decode(data, LeaderHeartbeat)
     except msgspec.MsgspecError:
-        return Beat()
+        return LeaderHeartbeat()
 
 
 def job_key(job: JobId) -> str:
@@ -75,15 +83,15 @@
 
 
 def record_key(job: JobId) -> str:
-    """Return the key of a job's progress."""
+    """Return the key of a job's progress record."""
     return RECORD_PREFIX + job
 
 
 def entry_key(node: NodeId) -> str:
-    """Return the key that names an entry."""
+    """Return the key under which an entry is registered."""
     return ENTRY_PREFIX + node
 
 
 def agent_key(node: NodeId) -> str:
-    """Return the key that names an agent."""
+    """Return the key under which an agent is registered."""
     return AGENT_PREFIX + node
--- a/wagtailcleat/cluster/leader.py
+++ b/wagtailcleat/cluster/leader.py
@@ -7,18 +7,18 @@
 from typing import Any
 
 from wagtailcleat.clock import Clock
-from wagtailcleat.cluster.jobs import Jobs, listed
+from wagtailcleat.cluster.interference_store import persist_interference
+from wagtailcleat.cluster.jobs import Jobs, list_until_answered
 from wagtailcleat.cluster.keys import (
     AGENT_PREFIX,
-    Place,
+    ProcessInfo,
     decode,
 )
+from wagtailcleat.cluster.leader_lease import LeaderLease
 from wagtailcleat.cluster.leadership import Leadership
-from wagtailcleat.cluster.learnt import keep_learnt
-from wagtailcleat.cluster.office import Office
 from wagtailcleat.cluster.records import Records
 from wagtailcleat.cluster.report_order import ReportOrder
-from wagtailcleat.cluster.timing import GIVE_UP_AFTER, STOP_AGAIN
+from wagtailcleat.cluster.timing import AGENT_EXPIRY_SECONDS, STOP_REPEAT_SECONDS
 from wagtailcleat.errors import Code
 from wagtailcleat.ids import NodeId, ZoneName
 from wagtailcleat.logs import part_logger
@@ -47,25 +47,25 @@
 
 log = part_logger("leader")
 
-ROUND_SECONDS = 0.01
+MIN_ROUND_INTERVAL_SECONDS = 0.01
 """Shortest time between two rounds: several reports are weighed together."""
-PLACING_SECONDS = 0.05
+PLACING_LIMIT_SECONDS = 0.05
 """How long one round places work: reports and pings wait for it to end, and the peers
 of a slow VM would take its silence for a lost connection."""
 LINK_SHARE_OF_STARTS = 0.5
 """Share of the link's rate; the rest is for pings, answers, callers and the store."""
-HELD_SECONDS = 0.02
+HELD_STARTS_RETRY_SECONDS = 0.02
 """Pause before starts that were held back are looked at again."""
-IDLE_SECONDS = 0.25
+MAX_ROUND_INTERVAL_SECONDS = 0.25
 """Longest time between two rounds: jobs become due and leases lapse unannounced."""
-RETRY_SECONDS = 0.2
+RETRY_PAUSE_SECONDS = 0.2
 """Pause after a call to the store that failed."""
-ORDERS_TIMEOUT = 0.8
-ADVICE_LOOK_SECONDS = 0.05
+ORDERS_TIMEOUT_SECONDS = 0.8
+ADVICE_POLL_SECONDS = 0.05
 """Pause before looking again whether a step waits for advice."""
-ENTRIES_SECONDS = 5.0
+ENTRIES_INTERVAL_SECONDS = 5.0
 """How often a leader looks after the other entries."""
-ENTRIES_RESTORING_SECONDS = 0.5
+ENTRIES_RESTORING_INTERVAL_SECONDS = 0.5
 """How often it does while its book is restored."""
 
 
@@ -74,7 +74,7 @@
 
     def __init__(
         self,
-        office: Office,
+        lease: LeaderLease,
         *,
         store: KeyValueStore,
         peers: Peers,
@@ -89,11 +89,11 @@
         """Wire it; `status_kept` in seconds."""
         self._advice = advice
         self._zones_out = zones_out
-        self.office = office
+        self.lease = lease
         self.scheduler = Scheduler(
-            office.epoch,
-            lease_horizon=GIVE_UP_AFTER,
-            stop_again=STOP_AGAIN,
+            lease.epoch,
+            lease_horizon=AGENT_EXPIRY_SECONDS,
+            stop_again=STOP_REPEAT_SECONDS,
             start_bytes_per_second=LINK_SHARE_OF_STARTS * link_bytes_per_second,
         )
         self.ready = False
@@ -104,7 +104,7 @@
         self._wall_clock = wall_clock
         self._wake = asyncio.Event()
         self._records = Records(
-            office,
+            lease,
             self.scheduler,
             store=store,
             wall_clock=wall_clock,
@@ -112,7 +112,7 @@
             on_progress=self._wake.set,
         )
         self._jobs = Jobs(
-            office,
+            lease,
             self.scheduler,
             store=store,
             clock=clock,
@@ -128,7 +128,7 @@
 
     def __repr__(self) -> str:
         """Show the epoch and the scheduler's book."""
-        return f"<Leader epoch {self.office.epoch}: {self.scheduler.book}>"
+        return f"<Leader epoch {self.lease.epoch}: {self.scheduler.book}>"
 
     @property
     def _now(self) -> float:
@@ -137,19 +137,19 @@
     @property
     def acting(self) -> bool:
         """Whether orders may be given now."""
-        return self.ready and self.office.valid_for(self._now) > 0
+        return self.ready and self.lease.valid_for(self._now) > 0
 
     async def run(self) -> None:
         """Restore the book, then lead until cancelled."""
-        supervisor = Supervisor(f"epoch-{self.office.epoch}")
+        supervisor = Supervisor(f"epoch-{self.lease.epoch}")
         # Restoring takes long behind a slow link; a larger entry may lead meanwhile.
-        supervisor.spawn("entries", self._keep_entries)
+        supervisor.spawn("entries", self._maintain_entries)
         try:
             await self._restore()
             supervisor.spawn("jobs", self._jobs.watch)
             supervisor.spawn("records", self._records.run)
             supervisor.spawn("rounds", self._rounds)
-            supervisor.spawn("learnt", self._keep_learnt)
+            supervisor.spawn("learnt", self._persist_interference)
             if self._advice is not None:
                 supervisor.spawn("advice", partial(self._ask_advice, self._advice))
             await asyncio.Event().wait()
@@ -162,8 +162,8 @@
 
     async def _restore(self) -> None:
         started_at = self._now
-        log.info("Restores the book", extra={"epoch": self.office.epoch})
-        agents = await listed(self._store, AGENT_PREFIX, self._clock)
+        log.info("Restores the book", extra={"epoch": self.lease.epoch})
+        agents = await list_until_answered(self._store, AGENT_PREFIX, self._clock)
         for found in agents.found:
             node = NodeId(found.key.removeprefix(AGENT_PREFIX))
             self._records.restore_agent(node, found.mod_revision)
@@ -178,15 +178,18 @@
                 "seconds": round(self._now - started_at, 3),
             },
         )
-        self._announce([decode(found.value, Place) for found in agents.found])
+        self._announce([decode(found.value, ProcessInfo) for found in agents.found])
 
-    def _announce(self, places: list[Place]) -> None:
-        for place in places:
-            self._spawn(self._tell(place))
+    def _announce(self, agent_infos: list[ProcessInfo]) -> None:
+        for place in agent_infos:
+            self._spawn(self._send_leader(place))
 
-    async def _tell(self, place: Place) -> None:
+    async def _send_leader(self, place: ProcessInfo) -> None:
         await self._peers.call(
-            place.host, place.port, self._leadership.leader, timeout=ORDERS_TIMEOUT
+            place.host,
+            place.port,
+            self._leadership.leader,
+            timeout=ORDERS_TIMEOUT_SECONDS,
         )
 
     # ---- what callers and agents say
@@ -221,7 +224,7 @@
         log.info("Cancelled", extra={"job": message.id, "state": entry.state.value})
         self._records.dirty.set()
         self._wake.set()
-        stored = await self._records.until_stored(entry, timeout)
+        stored = await self._records.wait_until_stored(entry, timeout)
         return StateShown(entry.state.value if stored else "")
 
     async def report(
@@ -229,20 +232,20 @@
     ) -> AnyMessage:
         """Take in an agent's report; the answer lets it act for a while."""
         assert isinstance(message, Report)
-        if not self.ready and self.office.valid_for(self._now) > 0:
+        if not self.ready and self.lease.valid_for(self._now) > 0:
             return Refused(Code.RESTORING.value, "the leader is still restoring")
         if not self.acting:
             # Another leader may have replaced this one, so agents must look who leads.
             # Runs go on for as long after an answer as a next leader waits after the
             # last moment at which this one may act.
             return Refused(Code.UNAVAILABLE.value, "this leader may not act now")
-        if message.epoch != self.office.epoch:
+        if message.epoch != self.lease.epoch:
             # It may still take an order of the leader before: one that is on its way
             # would start what this report does not list, and it would start elsewhere.
-            return FollowFirst(self.office.epoch)
-        if not await self._jobs.known(message):
+            return FollowFirst(self.lease.epoch)
+        if not await self._jobs.load_reported_jobs(message):
             return Refused(Code.UNAVAILABLE.value, "the store is asked for a job")
-        if self._report_order.overtaken(message):
+        if self._report_order.is_stale(message):
             return Refused(Code.CONFLICT.value, "a later report was taken in")
         session = self._session(message.node, stream)
         self.scheduler.take_report(
@@ -252,7 +255,7 @@
         vm.registered = message.node in self._records.registered
         self._wake.set()
         self._records.dirty.set()
-        return ReportTaken(self.office.epoch, self.office.valid_for(self._now))
+        return ReportTaken(self.lease.epoch, self.lease.valid_for(self._now))
 
     def _session(self, node: NodeId, stream: Stream) -> int:
         if self._stream_by_node.get(node) is not stream:
@@ -267,13 +270,13 @@
     async def _rounds(self) -> None:
         while True:
             try:
-                async with asyncio.timeout(IDLE_SECONDS):
+                async with asyncio.timeout(MAX_ROUND_INTERVAL_SECONDS):
                     await self._wake.wait()
             except TimeoutError:
                 pass
             self._wake.clear()
             self._round()
-            await asyncio.sleep(ROUND_SECONDS)
+            await asyncio.sleep(MIN_ROUND_INTERVAL_SECONDS)
 
     def _round(self) -> None:
         now = self._now
@@ -287,9 +290,9 @@
         # Judged as of the last renewal: a next leader may have claimed since, and an
         # agent that went over to it has its runs renewed, although this leader, which
         # may still act, hears of it no more.
-        surely_alone = min(now, self.office.renewed_at)
+        confirmed_at = min(now, self.lease.renewed_at)
         for node in self.scheduler.expire(
-            now=surely_alone, predecessors_until=self.office.predecessors_until
+            now=confirmed_at, predecessors_until=self.lease.predecessors_until
         ):
             log.warning("Gave up the runs of an agent", extra={"agent": node})
             self._records.dirty.set()
@@ -297,19 +300,21 @@
         if not self.acting:
             return
         self.scheduler.zones_out = self._zones_out()
-        whole = self.scheduler.place(
+        completed = self.scheduler.place(
             now=now,
             wall_now=self._wall_clock(),
-            in_time=lambda: self._now < now + PLACING_SECONDS,
+            in_time=lambda: self._now < now + PLACING_LIMIT_SECONDS,
         )
-        if not whole:
+        if not completed:
             self._wake.set()
         for vm, orders in self.scheduler.orders(now=now):
             self._log_orders(vm.node, orders)
             if vm.node in self._stream_by_node:
                 self._spawn(self._send(self._stream_by_node[vm.node], orders))
         if self.scheduler.holds_starts:
-            asyncio.get_running_loop().call_later(HELD_SECONDS, self._wake.set)
+            asyncio.get_running_loop().call_later(
+                HELD_STARTS_RETRY_SECONDS, self._wake.set
+            )
 
     def _log_notes(self) -> None:
         for note in self.scheduler.take_notes():
@@ -326,7 +331,7 @@
             log.info("Starts", extra=fields)
 
     async def _send(self, stream: Stream, orders: Orders) -> None:
-        answer = await stream.call(orders, timeout=ORDERS_TIMEOUT)
+        answer = await stream.call(orders, timeout=ORDERS_TIMEOUT_SECONDS)
         if isinstance(answer, Lost):
             # Whether it was taken shows in the agent's next report; a new
             # connection tells the two apart from what is still under way.
@@ -350,12 +355,12 @@
                     wall_now=self._wall_clock(),
                 )
             if question is None:
-                await asyncio.sleep(ADVICE_LOOK_SECONDS)
+                await asyncio.sleep(ADVICE_POLL_SECONDS)
                 continue
             granted = await service.ask(question)
             if granted is None:
                 log.warning("No advice", extra={"job": question.job})
-                await asyncio.sleep(RETRY_SECONDS)
+                await asyncio.sleep(RETRY_PAUSE_SECONDS)
                 continue
             until = self._now + granted.valid_seconds
             scheduler.advice.take(question, granted.ticket_by_worker, until=until)
@@ -373,13 +378,17 @@
 
     # ---- the store
 
-    async def _keep_learnt(self) -> None:
+    async def _persist_interference(self) -> None:
         interference = self.scheduler.sharing.interference
-        await keep_learnt(interference, self.office, self._store)
+        await persist_interference(interference, self.lease, self._store)
 
-    async def _keep_entries(self) -> None:
+    async def _maintain_entries(self) -> None:
         while True:
             ready = self.ready
-            await self._leadership.look_after_entries(self.office, restored=ready)
-            pause = ENTRIES_SECONDS if ready else ENTRIES_RESTORING_SECONDS
+            await self._leadership.maintain_entries(self.lease, restored=ready)
+            pause = (
+                ENTRIES_INTERVAL_SECONDS
+                if ready
+                else ENTRIES_RESTORING_INTERVAL_SECONDS
+            )
             await asyncio.sleep(pause)
--- a/wagtailcleat/cluster/leadership.py
+++ b/wagtailcleat/cluster/leadership.py
@@ -1,15 +1,18 @@
-"""Which entry leads: a key in the store that is taken over by compare-and-swap.
-
-The leader rewrites a second key, its beat. Another entry claims when the leader surely
-acts no more: another incarnation answers at its address, it has laid down its office,
-or its beat has stood still for longer than a leader may act after a renewal. It
-also claims where the leader's port refuses connections. That proves nothing: the new
-leader then waits until the renewals of the one before have surely run out, before it
-starts what that one may run (`Office.predecessors_until`). Leases of the store play no
-part: a key bound to one can vanish while its holder still counts on it.
-
-While the store does not answer, a leader may act on the word of all other entries
-that they will not claim.
+"""Leader election among the entries, by compare-and-swap on a key in the store.
+
+The leader renews its lease by rewriting a second key, its heartbeat. Another entry
+claims leadership once the leader certainly no longer acts: another incarnation answers
+at its address, it has stepped down, or its heartbeat has not changed for longer than
+the lease lasts. An entry also claims when the leader's port refuses connections. This
+does not prove that the leader has ended, so the new leader waits until the previous
+lease has certainly expired before it starts work that its predecessor may be running
+(`LeaderLease.predecessors_until`). The store's own leases are not used: a key bound to
+one can be deleted while its holder still relies on it.
+
+While the store does not answer, a leader may renew its lease by promises of all other
+entries not to claim.
+
+`entry_app` runs one `Leadership` per entry.
 """
 
 import asyncio
@@ -18,23 +21,23 @@
 from enum import Enum
 
 from wagtailcleat.clock import Clock
-from wagtailcleat.cluster.claims import NOBODY, Claims, Ground
-from wagtailcleat.cluster.keys import LEADER_KEY, Place
-from wagtailcleat.cluster.office import Lead, Office
-from wagtailcleat.cluster.others import (
-    Others,
-    Probe,
+from wagtailcleat.cluster.claims import NO_LEADER, ClaimReason, Claims
+from wagtailcleat.cluster.keys import LEADER_KEY, ProcessInfo
+from wagtailcleat.cluster.leader_lease import LeadCallback, LeaderLease
+from wagtailcleat.cluster.lease_renewer import STEP_DOWN_TRIES, LeaseRenewer
+from wagtailcleat.cluster.other_entries import (
+    OtherEntries,
+    RefusalProbe,
     connection_refused,
 )
-from wagtailcleat.cluster.renewals import LAY_DOWN_TRIES, Renewals
 from wagtailcleat.cluster.timing import (
-    CLAIM_AFTER,
-    LEADER_VALID,
-    LOOK_SOON,
-    PROBE_EVERY,
-    PROBE_TIMEOUT,
-    REFUSED_STANDS,
-    STEADY_SECONDS,
+    CLAIM_AFTER_SECONDS,
+    ESTABLISHED_LEADER_SECONDS,
+    LEADER_LEASE_SECONDS,
+    PROBE_INTERVAL_SECONDS,
+    PROBE_TIMEOUT_SECONDS,
+    REFUSED_CLAIM_AFTER_SECONDS,
+    REFUSED_PROBE_INTERVAL_SECONDS,
 )
 from wagtailcleat.ids import Epoch
 from wagtailcleat.logs import part_logger
@@ -52,318 +55,363 @@
 
 log = part_logger("leadership")
 
-TOUCH_SECONDS = 0.3
-"""How long an entry that is asked for its word waits for the store at most."""
-TAKE_OVER_ANSWER = 0.4
-"""How long the answer to a hand-over waits for the claim: two calls to the store."""
-FIRST_CLAIM_SECONDS = 0.8
-"""How long after its start an entry claims where nobody has led yet: all machines start
-within 0.3 s, and the largest should find itself named before the others choose."""
-LARGER_FIRST_SECONDS = 0.7
-"""How long an entry with less processor time waits for a larger one to claim: nearly
-two rounds of asking the leader."""
+STORE_CHECK_SECONDS = 0.3
+"""How long an entry that is asked for a promise waits for the store, at most."""
+TAKE_OVER_ANSWER_SECONDS = 0.4
+"""How long the answer to `TakeOver` waits for the claim: it takes two store calls."""
+FIRST_CLAIM_DELAY_SECONDS = 0.8
+"""How long after its start an entry waits to claim if there has never been a leader.
+
+All machines start within 0.3 s, and the largest entry should be registered before the
+others decide whether to wait for it.
+"""
+LARGER_ENTRY_DELAY_SECONDS = 0.7
+"""How long an entry waits for an entry with more processor time to claim.
+
+This covers nearly two probes of the leader.
+"""
 NO_REVISION = -1
+"""Equals no revision of a key in the store."""
 
 
-class _Sign(Enum):
-    """What an entry can tell of the leader's process."""
+class _ProbeResult(Enum):
+    """What a probe shows about the leader's process."""
 
     LEADS = "leads"
     REPLACED = "replaced"
-    """Another incarnation answers at its address: its process has ended."""
+    """Another incarnation answers at the leader's address: the process has ended."""
     REFUSED = "refused"
-    """By its VM or by the network on the way: its process may live."""
+    """The VM or the network refuses connections: the process may still be alive."""
     SILENT = "silent"
 
 
 class Leadership:
-    """Follows the leader, and leads when it is gone."""
+    """One entry's part in leader election: follow the leader, and replace it.
+
+    `leader` is the latest leader known; `lease` is set while this entry leads.
+    """
 
     def __init__(
         self,
         identity: Identity,
-        place: Place,
+        own_info: ProcessInfo,
         *,
         store: KeyValueStore,
         peers: Peers,
         clock: Clock,
-        lead: Lead,
-        refused: Probe = connection_refused,
+        lead: LeadCallback,
+        refused: RefusalProbe = connection_refused,
     ) -> None:
-        """Wire it; `lead` is run while this entry leads."""
-        self.leader = NOBODY
-        self.office: Office | None = None
+        """Create an entry that follows.
+
+        Parameters: `lead` runs while this entry leads; `refused` tells whether an
+        address refuses connections.
+        """
+        self.leader = NO_LEADER
+        self.lease: LeaderLease | None = None
         self.changes = 0
         self.may_claim = True
         self._identity = identity
-        self._place = place
+        self._own_info = own_info
         self._store = store
         self._peers = peers
         self._clock = clock
         self._lead = lead
         self._started_at = clock()
-        self._promised_until = clock() + LEADER_VALID
-        self._told_to_claim = asyncio.Event()
-        self._laid_down_epoch = Epoch(0)
-        """The epoch that its leader has laid down in favour of this entry."""
+        self._promised_until = clock() + LEADER_LEASE_SECONDS
+        self._asked_to_claim = asyncio.Event()
+        self._handed_over_epoch = Epoch(0)
+        """Epoch whose leader has stepped down in favour of this entry."""
         self._refused = refused
-        self._others = Others(place, store=store, peers=peers, clock=clock)
+        self._other_entries = OtherEntries(
+            own_info, store=store, peers=peers, clock=clock
+        )
         self._claims = Claims(
-            identity, place, store=store, clock=clock, learn=self._learn
+            identity, own_info, store=store, clock=clock, learn=self._learn
         )
-        self._renewals = Renewals(
+        self._lease_renewer = LeaseRenewer(
             store=store,
             peers=peers,
-            others=self._others,
+            other_entries=self._other_entries,
             clock=clock,
             leader=lambda: self.leader,
             learn=self._learn,
         )
-        self.look_after_entries = self._renewals.look_after_entries
-        self._learned = asyncio.Condition()
-        self._look_every = PROBE_EVERY
+        self.maintain_entries = self._lease_renewer.maintain_entries
+        self._leader_changed = asyncio.Condition()
+        self._check_interval = PROBE_INTERVAL_SECONDS
         self._learned_at = clock()
-        """When this entry learned of the leader it follows."""
-        self._refused_beat: int | None = None
-        """The beat's revision when a leader of long standing was first refused."""
-        self._wanted_since: float | None = None
-        """Since when this entry would claim, but lets a larger one go first."""
+        """When this entry learned of the leader that it follows."""
+        self._refused_heartbeat_revision: int | None = None
+        """Heartbeat revision when an established leader's port first refused.
+
+        `NO_REVISION` if the leader was not established then, None without refusals.
+        """
+        self._deferring_since: float | None = None
+        """Since when this entry has a reason to claim but waits for a larger one."""
 
     def __repr__(self) -> str:
-        """Show who leads."""
+        """Show the leader and its epoch."""
         return f"<Leadership epoch {self.leader.epoch}: {self.leader.node}>"
 
     @property
     def leads(self) -> bool:
         """Whether this entry leads."""
-        return self.office is not None
+        return self.lease is not None
 
     async def run(self) -> None:
-        """Follow and lead by turns, for ever."""
+        """Alternate between following and leading until cancelled."""
         await self._claims.register()
         while True:
-            office = await self._follow()
-            self.office = office
+            lease = await self._follow()
+            self.lease = lease
             self.changes += 1
-            log.info("Leads", extra={"epoch": office.epoch})
+            log.info("Leads", extra={"epoch": lease.epoch})
             if not self.may_claim:
-                # It was told to stop while the claim was under way.
-                await self.lay_down()
-            work = asyncio.create_task(self._lead(office))
+                # The entry was told to stop while the claim was in progress.
+                await self.step_down()
+            work = asyncio.create_task(self._lead(lease))
             try:
-                await self._renewals.hold(office, work)
+                await self._lease_renewer.renew_until_lost(lease, work)
             finally:
-                self.office = None
+                self.lease = None
                 work.cancel()
                 (ended,) = await asyncio.gather(work, return_exceptions=True)
                 if isinstance(ended, Exception):
                     log.error("Leading failed", exc_info=ended)
-            log.info("Leads no more", extra={"epoch": office.epoch})
-
-    # ---- messages of other processes
+            log.info("Stopped leading", extra={"epoch": lease.epoch})
 
     async def who_leads(self, message: AnyMessage) -> AnyMessage:
-        """Answer `WhoLeads`, and note an entry that asks."""
+        """Return the known leader, and remember the entry that asks."""
         assert isinstance(message, WhoLeads)
         if message.host:
-            self._others.note(
-                Place(message.host, message.port, message.incarnation, message.weight)
+            self._other_entries.add(
+                ProcessInfo(
+                    message.host, message.port, message.incarnation, message.weight
+                )
             )
         if self.leader.node == self._identity.node and not self.may_claim:
-            # Whoever is told that it still leads would not look whether it stopped.
-            return NOBODY
+            # An entry that is told that this one leads does not check further, so it
+            # would not notice that this one has stepped down.
+            return NO_LEADER
         return self.leader
 
-    async def leads_now(self, message: AnyMessage) -> AnyMessage:
-        """Take in who leads."""
+    async def leader_announced(self, message: AnyMessage) -> AnyMessage:
+        """Handle the announcement of a leader; return the latest leader known."""
         if isinstance(message, Leads):
             await self._learn(message)
         return self.leader
 
     async def keep_following(self, message: AnyMessage) -> AnyMessage:
-        """Give the leader the word not to claim, unless a newer epoch is known."""
+        """Promise the leader not to claim for the length of a lease.
+
+        Refuse by a promise of 0 seconds if a newer epoch is known, if this entry leads
+        or has a claim in progress, or if it has not read yet who leads.
+        """
         assert isinstance(message, KeepFollowing)
         now = self._clock()
-        # A leader counts on it that words given to the one before are older than its
-        # claim, also where the claim's answer is late or lost.
-        # The same where an earlier life of this process may have led: until the store
-        # has told who leads, this one knows no epoch that would forbid the word.
+        # A new leader assumes that every promise to its predecessor was made before
+        # its own claim, even if the answer to the claim is late or lost.
         claiming = self.leads or self._claims.sent_at is not None
-        unaware = not self._claims.has_read
-        if message.epoch < self.leader.epoch or claiming or unaware:
+        # An earlier incarnation of this process may have led. Until the store has
+        # been read, this one knows of no epoch that forbids the promise.
+        has_not_read = not self._claims.has_read
+        if message.epoch < self.leader.epoch or claiming or has_not_read:
             return Follows(self.leader.epoch, 0.0, self._store_age())
-        self._promised_until = max(self._promised_until, now + LEADER_VALID)
-        # The leader gives way only to an entry that the store has answered since it
-        # last failed the leader itself.
-        await self._touch_store()
-        return Follows(message.epoch, LEADER_VALID, self._store_age())
+        self._promised_until = max(self._promised_until, now + LEADER_LEASE_SECONDS)
+        # The leader hands over only to an entry that the store has answered since it
+        # last failed to answer the leader.
+        await self._refresh_store_contact()
+        return Follows(message.epoch, LEADER_LEASE_SECONDS, self._store_age())
 
     def _store_age(self) -> float:
-        """Return how many seconds ago the store last answered this entry."""
+        """Return how many seconds ago the store last answered; infinity if never."""
         answered_at = self._store.answered_at
         return self._clock() - answered_at if answered_at else math.inf
 
     async def take_over(self, message: AnyMessage) -> AnyMessage:
-        """Claim at once: the leader has laid down its office."""
+        """Claim at once because the leader has stepped down; return who leads then."""
         assert isinstance(message, TakeOver)
         if message.epoch >= self.leader.epoch and self.may_claim:
-            self._laid_down_epoch = message.epoch
-            self._told_to_claim.set()
-            await self._until_newer(message.epoch)
+            self._handed_over_epoch = message.epoch
+            self._asked_to_claim.set()
+            await self._wait_for_newer(message.epoch)
         return self.leader
 
-    async def _until_newer(self, epoch: Epoch) -> None:
-        # Who lays down its office may be away from the store, and learns only from
-        # this answer who leads now.
+    async def _wait_for_newer(self, epoch: Epoch) -> None:
+        # The leader that steps down may not reach the store, and then learns only
+        # from this answer who leads now.
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(TAKE_OVER_ANSWER), self._learned:
-                await self._learned.wait_for(lambda: self.leader.epoch > epoch)
+            async with asyncio.timeout(TAKE_OVER_ANSWER_SECONDS), self._leader_changed:
+                await self._leader_changed.wait_for(lambda: self.leader.epoch > epoch)
 
-    async def lay_down(self) -> None:
-        """Give the office to an entry that follows, before this process stops."""
+    async def step_down(self) -> None:
+        """Hand leadership over to another entry before this process stops."""
         self.may_claim = False
-        office = self.office
-        if office is None:
+        lease = self.lease
+        if lease is None:
             return
-        await self._renewals.lay_down(office)
-
-    # ---- following
+        await self._lease_renewer.step_down(lease)
 
     async def _learn(self, leader: Leads) -> None:
         if leader.epoch > self.leader.epoch:
             self.leader = leader
             self._learned_at = self._clock()
-            async with self._learned:
-                self._learned.notify_all()
+            async with self._leader_changed:
+                self._leader_changed.notify_all()
             log.info("Follows", extra={"epoch": leader.epoch, "leader": leader.node})
 
-    async def _touch_store(self) -> None:
-        if self._clock() - self._store.answered_at > PROBE_EVERY:
+    async def _refresh_store_contact(self) -> None:
+        if self._clock() - self._store.answered_at > PROBE_INTERVAL_SECONDS:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(TOUCH_SECONDS):
+                async with asyncio.timeout(STORE_CHECK_SECONDS):
                     await self._store.get(LEADER_KEY)
 
-    async def _follow(self) -> Office:
+    async def _follow(self) -> LeaderLease:
         while True:
-            office = await self._look()
-            if office is not None:
-                return office
+            lease = await self._check_leader()
+            if lease is not None:
+                return lease
             try:
-                async with asyncio.timeout(self._look_every):
-                    await self._told_to_claim.wait()
+                async with asyncio.timeout(self._check_interval):
+                    await self._asked_to_claim.wait()
             except TimeoutError:
                 continue
-            self._told_to_claim.clear()
-            office = await self._accept()
-            if office is not None:
-                return office
-
-    async def _accept(self) -> Office | None:
-        """Claim the epoch that was laid down, unless another entry has."""
-        for _ in range(LAY_DOWN_TRIES):
+            self._asked_to_claim.clear()
+            lease = await self._claim_handed_over()
+            if lease is not None:
+                return lease
+
+    async def _claim_handed_over(self) -> LeaderLease | None:
+        """Claim after a hand-over, unless another entry has claimed already."""
+        for _ in range(STEP_DOWN_TRIES):
             read = await self._claims.read()
-            if not read or self._claims.seen.leader.epoch != self._laid_down_epoch:
+            if (
+                not read
+                or self._claims.last_read.leader.epoch != self._handed_over_epoch
+            ):
                 return None
-            office = await self._claim(Ground.HANDED_OVER)
-            if office is not None:
-                return office
+            lease = await self._claim(ClaimReason.HANDED_OVER)
+            if lease is not None:
+                return lease
         return None
 
-    async def _look(self) -> Office | None:
-        asked = self.leader.epoch
-        sign = await self._sign()
-        self._look_every = LOOK_SOON if sign is _Sign.REFUSED else PROBE_EVERY
+    async def _check_leader(self) -> LeaderLease | None:
+        asked_epoch = self.leader.epoch
+        result = await self._probe_leader()
+        self._check_interval = (
+            REFUSED_PROBE_INTERVAL_SECONDS
+            if result is _ProbeResult.REFUSED
+            else PROBE_INTERVAL_SECONDS
+        )
         if not self._claims.has_read:
-            # Until it has read who leads, this entry promises nothing to a leader.
+            # This entry makes no promise to a leader before it has read who leads.
             await self._claims.read()
-        if sign is _Sign.LEADS or not self.may_claim:
-            self._refused_beat = None
-            self._wanted_since = None
+        if result is _ProbeResult.LEADS or not self.may_claim:
+            self._refused_heartbeat_revision = None
+            self._deferring_since = None
             return None
         if not await self._claims.read():
             return None
-        seen = self._claims.seen
-        if seen.leader.epoch == 0:
-            if self._clock() - self._started_at < FIRST_CLAIM_SECONDS:
+        last_read = self._claims.last_read
+        if last_read.leader.epoch == 0:
+            if self._clock() - self._started_at < FIRST_CLAIM_DELAY_SECONDS:
                 return None
-            return await self._claim_in_turn(Ground.NOBODY)
-        place = self._place
-        at_my_place = (seen.leader.host, seen.leader.port) == (place.host, place.port)
-        if seen.leader.node == self._identity.node and at_my_place:
-            return await self._claim(Ground.OWN)
-        if seen.leader.epoch != asked:
-            sign = _Sign.SILENT
-        self._note_refusal(sign)
-        return await self._replace(sign)
-
-    def _note_refusal(self, sign: _Sign) -> None:
-        if sign is not _Sign.REFUSED:
-            self._refused_beat = None
-        elif self._refused_beat is None:
-            steady = self._clock() - self._learned_at >= STEADY_SECONDS
-            self._refused_beat = (
-                self._claims.seen.beat_revision if steady else NO_REVISION
+            return await self._claim_after_larger(ClaimReason.NO_LEADER)
+        own_info = self._own_info
+        at_own_address = (last_read.leader.host, last_read.leader.port) == (
+            own_info.host,
+            own_info.port,
+        )
+        if last_read.leader.node == self._identity.node and at_own_address:
+            return await self._claim(ClaimReason.OWN)
+        if last_read.leader.epoch != asked_epoch:
+            result = _ProbeResult.SILENT
+        self._note_refusal(result)
+        return await self._replace(result)
+
+    def _note_refusal(self, result: _ProbeResult) -> None:
+        if result is not _ProbeResult.REFUSED:
+            self._refused_heartbeat_revision = None
+        elif self._refused_heartbeat_revision is None:
+            established = self._clock() - self._learned_at >= ESTABLISHED_LEADER_SECONDS
+            self._refused_heartbeat_revision = (
+                self._claims.last_read.heartbeat_revision
+                if established
+                else NO_REVISION
             )
 
-    async def _replace(self, sign: _Sign) -> Office | None:
-        """Claim the office of the leader that was last read, if there is ground."""
+    async def _replace(self, result: _ProbeResult) -> LeaderLease | None:
+        """Claim in place of the leader last read, if there is a reason to."""
         now = self._clock()
-        stands = now - self._claims.seen.beat_seen_at
-        if self._claims.seen.beat.laid_down:
-            return await self._claim_in_turn(Ground.LAID_DOWN)
-        if sign is _Sign.REPLACED:
-            return await self._claim_in_turn(Ground.REPLACED)
-        if stands >= CLAIM_AFTER and now >= self._promised_until:
-            return await self._claim_in_turn(Ground.STANDS)
-        at_once = self._claims.seen.beat_revision == self._refused_beat
-        if sign is _Sign.REFUSED and (at_once or stands >= REFUSED_STANDS):
-            return await self._claim_in_turn(Ground.REFUSED)
-        self._wanted_since = None
+        unchanged_for = now - self._claims.last_read.heartbeat_seen_at
+        if self._claims.last_read.heartbeat.stepped_down:
+            return await self._claim_after_larger(ClaimReason.STEPPED_DOWN)
+        if result is _ProbeResult.REPLACED:
+            return await self._claim_after_larger(ClaimReason.REPLACED)
+        if unchanged_for >= CLAIM_AFTER_SECONDS and now >= self._promised_until:
+            return await self._claim_after_larger(ClaimReason.HEARTBEAT_STOPPED)
+        may_claim_at_once = (
+            self._claims.last_read.heartbeat_revision
+            == self._refused_heartbeat_revision
+        )
+        if result is _ProbeResult.REFUSED and (
+            may_claim_at_once or unchanged_for >= REFUSED_CLAIM_AFTER_SECONDS
+        ):
+            return await self._claim_after_larger(ClaimReason.REFUSED)
+        self._deferring_since = None
         return None
 
-    async def _claim_in_turn(self, ground: Ground) -> Office | None:
-        """Claim, but first let an entry go that has more processor time."""
+    async def _claim_after_larger(self, reason: ClaimReason) -> LeaderLease | None:
+        """Claim, but first give an entry with more processor time a chance to."""
         now = self._clock()
-        if self._wanted_since is None:
-            self._wanted_since = now
-            await self._others.read()
-        patient = now - self._wanted_since < LARGER_FIRST_SECONDS
-        if patient and self._others.heavier():
+        if self._deferring_since is None:
+            self._deferring_since = now
+            await self._other_entries.read()
+        deferring = now - self._deferring_since < LARGER_ENTRY_DELAY_SECONDS
+        if deferring and self._other_entries.larger():
             return None
-        self._wanted_since = None
-        return await self._claim(ground)
+        self._deferring_since = None
+        return await self._claim(reason)
 
-    async def _claim(self, ground: Ground) -> Office | None:
+    async def _claim(self, reason: ClaimReason) -> LeaderLease | None:
         if not self.may_claim:
             return None
-        if ground is Ground.STANDS and self._clock() < self._promised_until:
-            # It was given a word meanwhile, by which it may act.
+        if (
+            reason is ClaimReason.HEARTBEAT_STOPPED
+            and self._clock() < self._promised_until
+        ):
+            # The leader may act on a promise that this entry has made meanwhile.
             return None
-        return await self._claims.claim(ground)
+        return await self._claims.claim(reason)
 
-    async def _sign(self) -> _Sign:
+    async def _probe_leader(self) -> _ProbeResult:
         leader = self.leader
         if not leader.epoch or leader.node == self._identity.node:
-            return _Sign.SILENT
+            return _ProbeResult.SILENT
         stream = await self._peers.stream(leader.host, leader.port)
         if isinstance(stream, Lost):
             refused = await self._refused(leader.host, leader.port)
-            return _Sign.REFUSED if refused else _Sign.SILENT
-        me = self._place
-        question = WhoLeads(me.host, me.port, me.incarnation, me.weight)
-        answer = await stream.call(question, timeout=PROBE_TIMEOUT)
+            return _ProbeResult.REFUSED if refused else _ProbeResult.SILENT
+        own = self._own_info
+        question = WhoLeads(own.host, own.port, own.incarnation, own.weight)
+        answer = await stream.call(question, timeout=PROBE_TIMEOUT_SECONDS)
         if isinstance(answer, Leads):
             await self._learn(answer)
             if stream.peer == leader.node and (
                 stream.peer_incarnation != leader.incarnation
             ):
-                # It has answered now, so the leader's process at this address has
-                # ended. A connection alone shows nothing: one to an earlier life looks
-                # open for long where its VM lost power.
-                return _Sign.REPLACED
+                # The other incarnation has just answered, so the leader's process at
+                # this address has ended. An open connection alone proves nothing: one
+                # to an earlier incarnation looks open for long if its VM lost power.
+                return _ProbeResult.REPLACED
             if answer.epoch == leader.epoch and answer.node != leader.node:
-                return _Sign.SILENT
-            # An older epoch tells nothing: a leader learns of its own only with the
-            # store's answer to its claim, when others may have read it already.
-            return _Sign.LEADS if answer.epoch >= leader.epoch else _Sign.SILENT
-        return _Sign.SILENT
+                return _ProbeResult.SILENT
+            # An older epoch proves nothing: a leader learns its own epoch only from
+            # the store's answer to its claim, when others may have read it already.
+            return (
+                _ProbeResult.LEADS
+                if answer.epoch >= leader.epoch
+                else _ProbeResult.SILENT
+            )
+        return _ProbeResult.SILENT
--- /dev/null
+++ b/wagtailcleat/cluster/lease_renewer.py
@@ -0,0 +1,289 @@
+"""Renew a leader's lease, by the store or by promises, and end or hand it over.
+
+Used by `leadership` only.
+"""
+
+import asyncio
+import contextlib
+from collections.abc import Callable
+
+from wagtailcleat.clock import Clock
+from wagtailcleat.cluster.claims import LearnLeader, at_revision
+from wagtailcleat.cluster.keys import (
+    HEARTBEAT_KEY,
+    LEADER_KEY,
+    LeaderHeartbeat,
+    ProcessInfo,
+    encode,
+)
+from wagtailcleat.cluster.leader_lease import LeaderLease
+from wagtailcleat.cluster.other_entries import OtherEntries, reaches_store
+from wagtailcleat.cluster.timing import (
+    LEADER_LEASE_SECONDS,
+    PROBE_TIMEOUT_SECONDS,
+    RENEWAL_INTERVAL_SECONDS,
+    STORE_SILENT_SECONDS,
+)
+from wagtailcleat.ids import Epoch
+from wagtailcleat.logs import part_logger
+from wagtailcleat.platform.keyvalue import KeyValueStore
+from wagtailcleat.storage import Compare, Conflict, Txn, Written
+from wagtailcleat.wire.peers import Peers
+from wagtailcleat.wire.scheduling import Follows, Leads, TakeOver
+
+log = part_logger("leadership")
+
+STEP_DOWN_STORE_SECONDS = 0.3
+"""How long a leader that steps down waits for the store before it tells the others."""
+STEP_DOWN_TRIES = 2
+"""The first attempt may conflict with a renewal that was in progress."""
+STORE_RECHECK_SECONDS = 0.1
+"""How long a leader waits for the store once more before it hands over."""
+HAND_OVER_AFTER_SECONDS = 10.0
+"""How long an entry leads, at least, before it hands over to a larger one."""
+HAND_OVER_RESTORING_SECONDS = 1.5
+"""The same while it restores: running work lapses unless restoring ends soon."""
+
+
+class LeaseRenewer:
+    """Renews the lease of this entry while it leads."""
+
+    def __init__(
+        self,
+        *,
+        store: KeyValueStore,
+        peers: Peers,
+        other_entries: OtherEntries,
+        clock: Clock,
+        leader: Callable[[], Leads],
+        learn: LearnLeader,
+    ) -> None:
+        """Create the renewer.
+
+        Parameters: `leader` returns the latest leader known; `learn` is called with
+        each leader that another entry names.
+        """
+        self._store = store
+        self._peers = peers
+        self._other_entries = other_entries
+        self._clock = clock
+        self._leader = leader
+        self._learn = learn
+
+    def __repr__(self) -> str:
+        """Show the epoch of the latest leader known."""
+        return f"<LeaseRenewer under epoch {self._leader().epoch}>"
+
+    async def step_down(self, lease: LeaderLease) -> None:
+        """End a lease, and ask another entry to take over."""
+        lease.stepped_down.set()
+        with contextlib.suppress(TimeoutError):
+            async with asyncio.timeout(STEP_DOWN_STORE_SECONDS):
+                await self._store_step_down(lease)
+        await self._hand_over(lease, need_store=False)
+
+    async def _store_step_down(self, lease: LeaderLease) -> None:
+        # Messages to the other entries can be lost; each of them reads the store.
+        predecessors_expired = self._clock() >= lease.predecessors_until
+        for _ in range(STEP_DOWN_TRIES):
+            outcome = await self._store.write(
+                Txn(
+                    _keys_unchanged(lease),
+                    {
+                        HEARTBEAT_KEY: encode(
+                            LeaderHeartbeat(predecessors_expired, stepped_down=True)
+                        )
+                    },
+                )
+            )
+            if not isinstance(outcome, Conflict):
+                return
+            if not self._after_conflict(lease, outcome):
+                return
+
+    async def renew_until_lost(
+        self, lease: LeaderLease, work: "asyncio.Task[None]"
+    ) -> None:
+        """Renew a lease until it is lost, the leader steps down or `work` has ended."""
+        while not lease.stepped_down.is_set() and not work.done():
+            if not await self._renew(lease):
+                return
+            if lease.hand_over_requested:
+                lease.hand_over_requested = False
+                await self._hand_over(lease, need_store=True, larger=True)
+                continue
+            try:
+                async with asyncio.timeout(RENEWAL_INTERVAL_SECONDS):
+                    await lease.stepped_down.wait()
+            except TimeoutError:
+                continue
+
+    async def _renew(self, lease: LeaderLease) -> bool:
+        """Renew the lease once; return False if another entry has claimed."""
+        sent_at = self._clock()
+        predecessors_expired = sent_at >= lease.predecessors_until
+        outcome = await self._store.write(
+            Txn(
+                _keys_unchanged(lease),
+                {HEARTBEAT_KEY: encode(LeaderHeartbeat(predecessors_expired))},
+            )
+        )
+        if isinstance(outcome, Written):
+            lease.heartbeat_revision = outcome.store_revision
+            lease.renewed(sent_at, LEADER_LEASE_SECONDS)
+            if predecessors_expired and lease.predecessors_expired_revision is None:
+                lease.predecessors_expired_revision = outcome.store_revision
+            return True
+        if isinstance(outcome, Conflict):
+            return self._after_conflict(lease, outcome)
+        await self._renew_by_promises(lease)
+        return True
+
+    def _after_conflict(self, lease: LeaderLease, conflict: Conflict) -> bool:
+        revision_by_key = {f.key: f.mod_revision for f in conflict.current}
+        if revision_by_key.get(LEADER_KEY) != lease.leader_revision:
+            log.warning("Another entry has claimed", extra={"epoch": lease.epoch})
+            return False
+        # An earlier renewal that was not answered has taken effect.
+        lease.heartbeat_revision = revision_by_key.get(HEARTBEAT_KEY, 0)
+        return True
+
+    async def _renew_by_promises(self, lease: LeaderLease) -> None:
+        if not self._other_entries.has_read:
+            # With no entry known, promises of none would count as promises of all, and
+            # this leader would continue to act beside the next one.
+            return
+        sent_at = self._clock()
+        other_entries = self._other_entries.entries()
+        promises = await self._collect_promises(lease, other_entries, sent_at)
+        if lease.stepped_down.is_set() or len(promises) < len(other_entries):
+            return
+        shortest = min(
+            (promise.seconds for promise in promises), default=LEADER_LEASE_SECONDS
+        )
+        lease.renewed(sent_at, shortest)
+
+    async def _collect_promises(
+        self, lease: LeaderLease, other_entries: list[ProcessInfo], sent_at: float
+    ) -> list[Follows]:
+        """Return the promises of the other entries.
+
+        Hand over to an entry that reaches the store if this one does not. Each answer
+        is judged as it arrives, because the question to an entry that is gone is not
+        answered until it times out.
+        """
+        requests = [
+            asyncio.create_task(self._request_promise(entry, lease.epoch))
+            for entry in other_entries
+        ]
+        promises = []
+        try:
+            for answer in asyncio.as_completed(requests):
+                entry, promise = await answer
+                if promise is None:
+                    continue
+                promises.append(promise)
+                if (
+                    self._only_this_entry_lost_store(promise, sent_at)
+                    and not await self._store_answers_again()
+                ):
+                    fields = {"epoch": lease.epoch, "to": entry.host}
+                    log.info("Another entry reaches the store", extra=fields)
+                    if await self._hand_over_to(lease, entry):
+                        break
+        finally:
+            for task in requests:
+                task.cancel()
+        return promises
+
+    async def _request_promise(
+        self, entry: ProcessInfo, epoch: Epoch
+    ) -> tuple[ProcessInfo, Follows | None]:
+        return entry, await self._other_entries.promise(entry, epoch)
+
+    def _only_this_entry_lost_store(self, promise: Follows, sent_at: float) -> bool:
+        """Return whether the store answers another entry but has long failed this one.
+
+        The store must have answered the other entry after it first failed this one:
+        when the store goes down for all, each entry has had an answer a moment ago.
+        """
+        since = self._store.down_since
+        if since is None or sent_at - since < STORE_SILENT_SECONDS:
+            return False
+        return promise.store_age < sent_at - since
+
+    async def _store_answers_again(self) -> bool:
+        """Ask the store once more; return whether it answers.
+
+        The store may be back for all, and the others may have had an answer first.
+        """
+        with contextlib.suppress(TimeoutError):
+            async with asyncio.timeout(STORE_RECHECK_SECONDS):
+                await self._store.get(HEARTBEAT_KEY)
+        return self._store.down_since is None
+
+    async def _hand_over(
+        self, lease: LeaderLease, *, need_store: bool, larger: bool = False
+    ) -> None:
+        for entry in (
+            self._other_entries.larger() if larger else self._other_entries.entries()
+        ):
+            if need_store:
+                promise = await self._other_entries.promise(entry, lease.epoch)
+                if promise is None or not reaches_store(promise):
+                    continue
+            if await self._hand_over_to(lease, entry):
+                return
+
+    async def _hand_over_to(self, lease: LeaderLease, entry: ProcessInfo) -> bool:
+        """Step down in favour of an entry; return whether it has answered who leads."""
+        lease.stepped_down.set()
+        answer = await self._peers.call(
+            entry.host, entry.port, TakeOver(lease.epoch), timeout=PROBE_TIMEOUT_SECONDS
+        )
+        if not isinstance(answer, Leads):
+            return False
+        await self._learn(answer)
+        return True
+
+    async def _announce(self, lease: LeaderLease) -> None:
+        # An entry that does not reach the store can't read there who leads.
+        if lease.announced:
+            return
+        lease.announced = True
+        await asyncio.gather(
+            *(
+                self._peers.call(
+                    p.host, p.port, self._leader(), timeout=PROBE_TIMEOUT_SECONDS
+                )
+                for p in self._other_entries.entries()
+            )
+        )
+
+    async def maintain_entries(self, lease: LeaderLease, *, restored: bool) -> None:
+        """Announce the leader, deregister silent entries, hand over to a larger one.
+
+        One process decides for all VMs, and on the smallest entries of a deployment it
+        has a quarter of the processor time that it has on the largest.
+
+        Parameters: `restored` tells whether the leader has read all that is stored.
+        """
+        if not await self._other_entries.read():
+            return
+        await self._announce(lease)
+        await self._other_entries.deregister_silent(lease.epoch, lease.leader_revision)
+        held_for = self._clock() - lease.claimed_at
+        required = HAND_OVER_AFTER_SECONDS if restored else HAND_OVER_RESTORING_SECONDS
+        if held_for >= required and self._other_entries.larger():
+            log.info(
+                "Hands over to an entry with more processor time",
+                extra={"epoch": lease.epoch},
+            )
+            lease.hand_over_requested = True
+
+
+def _keys_unchanged(lease: LeaderLease) -> list[Compare]:
+    return [
+        at_revision(LEADER_KEY, lease.leader_revision),
+        at_revision(HEARTBEAT_KEY, lease.heartbeat_revision),
+    ]
--- a/wagtailcleat/cluster/measures.py
+++ b/wagtailcleat/cluster/metrics.py
@@ -9,13 +9,13 @@
 from wagtailcleat.scheduling.book import TaskState
 from wagtailcleat.scheduling.scheduler import Scheduler
 
-LONGEST_MICROSECONDS = 60_000_000
+MAX_LATENCY_MICROSECONDS = 60_000_000
 MICROSECONDS = 1_000_000
-DIGITS = 2
+SIGNIFICANT_DIGITS = 2
 """Significant digits kept of a latency: one percent tells what an on-call needs."""
 
 
-class CallerMeasures:
+class CallerMetrics:
     """How callers were served; labels are methods and status codes only."""
 
     def __init__(self) -> None:
@@ -23,16 +23,16 @@
         self.count_by_outcome: Counter[str] = Counter()
         self.histogram_by_method: dict[str, HdrHistogram] = {}
 
-    def note(self, method: str, status: int, seconds: float) -> None:
+    def record(self, method: str, status: int, seconds: float) -> None:
         """Count one answered call."""
         self.count_by_outcome[f"{method} {status}"] += 1
         histogram = self.histogram_by_method.get(method)
         if histogram is None:
-            histogram = HdrHistogram(1, LONGEST_MICROSECONDS, DIGITS)
+            histogram = HdrHistogram(1, MAX_LATENCY_MICROSECONDS, SIGNIFICANT_DIGITS)
             self.histogram_by_method[method] = histogram
         histogram.record_value(int(seconds * MICROSECONDS) + 1)
 
-    def show(self, introspection: Introspection) -> None:
+    def register(self, introspection: Introspection) -> None:
         """Show the counts and latencies among the metrics."""
         introspection.labelled(
             Kind.COUNTER,
@@ -49,7 +49,7 @@
         )
 
 
-def show_scheduler(
+def register_scheduler_metrics(
     introspection: Introspection, scheduler: Callable[[], Scheduler | None]
 ) -> None:
     """Show what the leader decides; an entry that follows shows nothing."""
--- a/wagtailcleat/cluster/operator_watch.py
+++ b/wagtailcleat/cluster/operator_watch.py
@@ -20,7 +20,7 @@
 
 log = part_logger("operators")
 
-RETRY_SECONDS = 0.2
+RETRY_PAUSE_SECONDS = 0.2
 """Pause after a call that failed; a change must be in force within 2 s."""
 
 
@@ -59,7 +59,7 @@
         """List, then watch, for ever."""
         while True:
             if not self.known and not await self._list():
-                await asyncio.sleep(RETRY_SECONDS)
+                await asyncio.sleep(RETRY_PAUSE_SECONDS)
                 continue
             changes = await self._store.changes(
                 self._prefix, self._revision, wait_seconds=self._wait_seconds
@@ -75,7 +75,7 @@
                 self.known = False
             elif not await self._list():
                 # A cut watch may have missed nothing, but a list is sure.
-                await asyncio.sleep(RETRY_SECONDS)
+                await asyncio.sleep(RETRY_PAUSE_SECONDS)
 
     async def _list(self) -> bool:
         listing = await self._store.list(self._prefix)
--- /dev/null
+++ b/wagtailcleat/cluster/other_entries.py
@@ -0,0 +1,150 @@
+"""The other entries: their addresses, their promises and their registration.
+
+Used by `leadership` and `lease_renewer`.
+"""
+
+import asyncio
+from collections.abc import Awaitable, Callable
+
+from wagtailcleat.clock import Clock
+from wagtailcleat.cluster.keys import ENTRY_PREFIX, LEADER_KEY, ProcessInfo, decode
+from wagtailcleat.cluster.timing import PROBE_INTERVAL_SECONDS, PROBE_TIMEOUT_SECONDS
+from wagtailcleat.ids import Epoch
+from wagtailcleat.logs import part_logger
+from wagtailcleat.platform.keyvalue import KeyValueStore
+from wagtailcleat.storage import Compare, Listing, Txn, Written
+from wagtailcleat.wire.peers import Peers
+from wagtailcleat.wire.scheduling import Follows, KeepFollowing
+
+log = part_logger("leadership")
+
+DEREGISTER_AFTER_SECONDS = 8.0
+"""How long an entry is silent before it is deregistered.
+
+Partitions are shorter than this, and a restart takes 2 s.
+"""
+LARGER_FACTOR = 1.5
+"""How many times this entry's processor time makes another entry a larger one."""
+
+Address = tuple[str, int]
+RefusalProbe = Callable[[str, int], Awaitable[bool]]
+"""Returns whether connections to a host and port are refused."""
+
+
+async def connection_refused(host: str, port: int) -> bool:
+    """Return whether a connection is refused, by the peer's VM or by the network."""
+    try:
+        async with asyncio.timeout(PROBE_TIMEOUT_SECONDS):
+            _, writer = await asyncio.open_connection(host, port)
+    except ConnectionRefusedError:
+        return True
+    except (OSError, TimeoutError):
+        return False
+    writer.close()
+    return False
+
+
+class OtherEntries:
+    """Entries that are registered in the store, or that asked this one who leads."""
+
+    def __init__(
+        self,
+        own_info: ProcessInfo,
+        *,
+        store: KeyValueStore,
+        peers: Peers,
+        clock: Clock,
+    ) -> None:
+        """Start with no other entry; `own_info` is this entry's own address."""
+        self._own_info = own_info
+        self._store = store
+        self._peers = peers
+        self._clock = clock
+        self._entry_by_address: dict[Address, ProcessInfo] = {}
+        self._key_by_address: dict[Address, str] = {}
+        self._silent_since_by_key: dict[str, float] = {}
+        self.has_read = False
+        """Whether the registered entries have been read from the store."""
+
+    def __repr__(self) -> str:
+        """Show how many are known."""
+        return f"<OtherEntries: {len(self.entries())}>"
+
+    def add(self, entry: ProcessInfo) -> None:
+        """Remember an entry that asked who leads."""
+        self._entry_by_address[entry.host, entry.port] = entry
+
+    def entries(self) -> list[ProcessInfo]:
+        """Return the other entries, those with most processor time first."""
+        own = (self._own_info.host, self._own_info.port)
+        others = [
+            entry for address, entry in self._entry_by_address.items() if address != own
+        ]
+        return sorted(others, key=lambda entry: -entry.weight)
+
+    def larger(self) -> list[ProcessInfo]:
+        """Return the entries that have clearly more processor time than this one."""
+        least = self._own_info.weight * LARGER_FACTOR
+        return [entry for entry in self.entries() if entry.weight >= least]
+
+    async def read(self) -> bool:
+        """Read the registered entries; return whether the store answered."""
+        listing = await self._store.list(ENTRY_PREFIX)
+        if not isinstance(listing, Listing):
+            return False
+        self.has_read = True
+        self._key_by_address = {}
+        for found in listing.found:
+            entry = decode(found.value, ProcessInfo)
+            address = (entry.host, entry.port)
+            self._key_by_address[address] = found.key
+            self._entry_by_address.setdefault(address, entry)
+        return True
+
+    async def promise(self, entry: ProcessInfo, epoch: Epoch) -> Follows | None:
+        """Ask an entry not to claim while `epoch` leads; return its promise or None."""
+        answer = await self._peers.call(
+            entry.host, entry.port, KeepFollowing(epoch), timeout=PROBE_TIMEOUT_SECONDS
+        )
+        if isinstance(answer, Follows):
+            return answer if answer.epoch <= epoch else None
+        # A refused connection is not a promise: a partition can refuse connections,
+        # and a leader that counted refusals would continue to lead while an entry on
+        # the other side claims.
+        return None
+
+    async def deregister_silent(self, epoch: Epoch, leader_revision: int) -> None:
+        """Delete the registrations of entries that have long been silent.
+
+        A leader that does not reach the store needs the promise of each entry, and an
+        entry that is gone for good would never give it. A deregistered entry can't
+        claim before it has registered again.
+
+        Parameters: `leader_revision` is the revision of the leader key as this leader
+        wrote it.
+        """
+        now = self._clock()
+        for entry in self.entries():
+            address = (entry.host, entry.port)
+            key = self._key_by_address.get(address)
+            if key is None:
+                continue
+            if await self.promise(entry, epoch):
+                self._silent_since_by_key.pop(key, None)
+                continue
+            since = self._silent_since_by_key.setdefault(key, now)
+            if now - since >= DEREGISTER_AFTER_SECONDS:
+                leader_unchanged = Compare(LEADER_KEY, leader_revision)
+                deleted = await self._store.write(
+                    Txn([leader_unchanged], deletes=[key])
+                )
+                if not isinstance(deleted, Written):
+                    # The entry may still claim, so its promise is still needed.
+                    continue
+                self._entry_by_address.pop(address, None)
+                log.warning("Silent entry deregistered", extra={"entry": key})
+
+
+def reaches_store(promise: Follows) -> bool:
+    """Return whether the store has lately answered the entry that gave a promise."""
+    return promise.store_age < PROBE_INTERVAL_SECONDS * 2
--- a/wagtailcleat/cluster/program.py
+++ b/wagtailcleat/cluster/program.py
@@ -14,7 +14,7 @@
 
 from wagtailcleat.clock import boot_time, wall_time
 from wagtailcleat.cluster.settings import Shared, load
-from wagtailcleat.cluster.timing import STORE_CALL
+from wagtailcleat.cluster.timing import STORE_CALL_SECONDS
 from wagtailcleat.errors import SettingsError
 from wagtailcleat.ids import NodeId
 from wagtailcleat.introspection import Introspection, Kind
@@ -39,7 +39,7 @@
 
 STREAM_TIMING = StreamTiming(ping=0.25, silence=0.75, idle_close=20.0, connect=0.6)
 """A silent stream is noticed within a second; round trips take milliseconds."""
-SETTINGS_LOOK_SECONDS = 5.0
+SETTINGS_POLL_SECONDS = 5.0
 """How often the settings file is looked at for a change without a signal."""
 SETTINGS_VARIABLE = "WAGTAILCLEAT_BOOT"
 """Names the settings file where the command line does not."""
@@ -89,7 +89,9 @@
     listener = Listener(identity, dispatch, STREAM_TIMING)
     sockets = bind(settings.host, settings.peer_port)
     listener.add_sockets(sockets)  # type: ignore[arg-type]
-    store = KeyValueStore(settings.store, clock=boot_time, call_seconds=STORE_CALL)
+    store = KeyValueStore(
+        settings.store, clock=boot_time, call_seconds=STORE_CALL_SECONDS
+    )
     base = Base(
         identity,
         introspection,
@@ -217,12 +219,12 @@
 
 
 async def _until_told_to_stop(program: Program) -> None:
-    told = asyncio.Event()
+    requested = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, told.set)
-    program.base.supervisor.broken.add_done_callback(lambda _: told.set())
-    await told.wait()
+        loop.add_signal_handler(number, requested.set)
+    program.base.supervisor.broken.add_done_callback(lambda _: requested.set())
+    await requested.wait()
 
 
 class _Reload:
@@ -232,21 +234,21 @@
         self._path = path
         self._settings = settings
         self._kind = kind
-        self._told = asyncio.Event()
+        self._requested = asyncio.Event()
         self._text = self._read()
 
     async def run(self) -> None:
         loop = asyncio.get_running_loop()
-        loop.add_signal_handler(signal.SIGHUP, self._told.set)
+        loop.add_signal_handler(signal.SIGHUP, self._requested.set)
         while True:
             try:
-                async with asyncio.timeout(SETTINGS_LOOK_SECONDS):
-                    await self._told.wait()
+                async with asyncio.timeout(SETTINGS_POLL_SECONDS):
+                    await self._requested.wait()
             except TimeoutError:
                 pass
-            signalled = self._told.is_set()
-            self._told.clear()
-            self._look(signalled)
+            signalled = self._requested.is_set()
+            self._requested.clear()
+            self._check(signalled)
 
     def _read(self) -> bytes:
         try:
@@ -254,7 +256,7 @@
         except OSError:
             return b""
 
-    def _look(self, signalled: bool) -> None:
+    def _check(self, signalled: bool) -> None:
         found = self._read()
         if found == self._text and not signalled:
             return
--- a/wagtailcleat/cluster/records.py
+++ b/wagtailcleat/cluster/records.py
@@ -8,26 +8,26 @@
 from wagtailcleat.clock import Clock
 from wagtailcleat.cluster.keys import (
     LEADER_KEY,
-    Place,
+    ProcessInfo,
     agent_key,
     cancel_key,
     encode,
     job_key,
     record_key,
 )
-from wagtailcleat.cluster.office import Office
+from wagtailcleat.cluster.leader_lease import LeaderLease
 from wagtailcleat.ids import JobId, NodeId
 from wagtailcleat.platform.keyvalue import MAX_TXN_ENTRIES, KeyValueStore
 from wagtailcleat.scheduling.book import JobEntry, record_of
 from wagtailcleat.scheduling.scheduler import Scheduler
 from wagtailcleat.storage import Compare, Conflict, Txn, WriteOutcome, Written
 
-COMMIT_SECONDS = 0.03
+COMMIT_INTERVAL_SECONDS = 0.03
 """Pause between two writes of records, which gathers the ends of that time.
 
 A write costs the same for one record as for thirty, and calls are priced.
 """
-RETRY_SECONDS = 0.2
+RETRY_PAUSE_SECONDS = 0.2
 """Pause after a write that failed."""
 RECORDS_PER_WRITE = (MAX_TXN_ENTRIES - 1) // 3
 """Each record is a compare and a put, and the job is a put where it has ended; one
@@ -43,7 +43,7 @@
 """Each job has up to three keys."""
 AGENTS_PER_WRITE = (MAX_TXN_ENTRIES - 1) // 2
 """Each agent is a compare, and a put or a delete; one compare is the leader's own."""
-FORGET_SLACK = 30.0
+EXPIRY_MARGIN_SECONDS = 30.0
 """How much longer than promised the state of an ended job is kept."""
 
 
@@ -52,7 +52,7 @@
 
     def __init__(
         self,
-        office: Office,
+        lease: LeaderLease,
         scheduler: Scheduler,
         *,
         store: KeyValueStore,
@@ -71,7 +71,7 @@
         """Agents that the store names."""
         self._revision_by_agent: dict[NodeId, int] = {}
         """Of each agent's key as last heard of; 0 or none: there is no such key."""
-        self._office = office
+        self._lease = lease
         self._scheduler = scheduler
         self._store = store
         self._wall_clock = wall_clock
@@ -90,7 +90,7 @@
         self.registered.add(node)
         self._revision_by_agent[node] = store_revision
 
-    async def until_stored(self, entry: JobEntry, timeout: float) -> bool:
+    async def wait_until_stored(self, entry: JobEntry, timeout: float) -> bool:
         """Wait until a job's present progress is stored; False after `timeout`."""
         version = entry.version
         try:
@@ -105,28 +105,28 @@
         while True:
             await self.dirty.wait()
             self.dirty.clear()
-            await asyncio.sleep(COMMIT_SECONDS)
+            await asyncio.sleep(COMMIT_INTERVAL_SECONDS)
             await self._register_agents()
-            await self._strike_agents()
+            await self._deregister_agents()
             while changed := self._changed():
-                if not await self._write_records(self._next(changed)):
+                if not await self._write_records(self._next_batch(changed)):
                     # Agents are registered and struck all the same.
                     self.dirty.set()
-                    await asyncio.sleep(RETRY_SECONDS)
+                    await asyncio.sleep(RETRY_PAUSE_SECONDS)
                     break
-            await self._forget_old()
+            await self._delete_expired()
 
     def _changed(self) -> list[JobEntry]:
         entries = self._scheduler.book.entry_by_id.values()
         return [entry for entry in entries if entry.version > entry.committed]
 
-    def _next(self, changed: list[JobEntry]) -> list[JobEntry]:
+    def _next_batch(self, changed: list[JobEntry]) -> list[JobEntry]:
         """Return those that have failed least, fewer at once the more they failed."""
         # A record that the store does not take must not hold up the others.
         failures = self._failures_by_job
-        least = min(failures.get(entry.job.id, 0) for entry in changed)
-        following = [e for e in changed if failures.get(e.job.id, 0) == least]
-        return following[: max(1, RECORDS_PER_WRITE >> least)]
+        fewest = min(failures.get(entry.job.id, 0) for entry in changed)
+        following = [e for e in changed if failures.get(e.job.id, 0) == fewest]
+        return following[: max(1, RECORDS_PER_WRITE >> fewest)]
 
     def _count_failures(self, entries: list[JobEntry], *, failed: bool) -> None:
         failures = self._failures_by_job
@@ -136,14 +136,14 @@
             else:
                 failures.pop(entry.job.id, None)
 
-    def _forgive_failures(self) -> None:
+    def _discount_shared_failures(self) -> None:
         # What all records have failed alike was the store's fault, not theirs: after an
         # outage they go out in full writes again.
         failures = self._failures_by_job
         jobs = [entry.job.id for entry in self._changed()]
-        least = min((failures.get(job, 0) for job in jobs), default=0)
+        fewest = min((failures.get(job, 0) for job in jobs), default=0)
         self._failures_by_job = {
-            job: count - least for job, count in failures.items() if count > least
+            job: count - fewest for job, count in failures.items() if count > fewest
         }
 
     async def _register_agents(self) -> None:
@@ -156,11 +156,14 @@
         for first in range(0, len(new), AGENTS_PER_WRITE):
             batch = new[first : first + AGENTS_PER_WRITE]
             places = {
-                agent_key(vm.node): encode(Place(vm.host, vm.port, 0)) for vm in batch
+                agent_key(vm.node): encode(ProcessInfo(vm.host, vm.port, 0))
+                for vm in batch
             }
             nodes = [vm.node for vm in batch]
-            outcome = await self._store.write(Txn(self._as_known(nodes), places))
-            self._note_agents(nodes, outcome, named=True)
+            outcome = await self._store.write(
+                Txn(self._agents_unchanged(nodes), places)
+            )
+            self._note_agents(nodes, outcome, registered=True)
             if isinstance(outcome, Written):
                 self.registered.update(nodes)
         for vm in vms:
@@ -170,16 +173,16 @@
         if any(not vm.registered for vm in vms):
             self.dirty.set()
 
-    async def _strike_agents(self) -> None:
+    async def _deregister_agents(self) -> None:
         # A next leader waits for each agent that the store names before it starts
         # work that was under way: one that is gone would hold all of it up.
         idle = {vm.node for vm in self._scheduler.idle_absent()}
         # What the store may still name counts, not what was last asked of it: a strike
         # that was not carried out must be tried again.
-        named = [node for node, at in self._revision_by_agent.items() if at]
+        registered = [node for node, at in self._revision_by_agent.items() if at]
         gone = [
             node
-            for node in named
+            for node in registered
             if node in idle or node not in self._scheduler.vm_by_node
         ]
         gone = [node for node in gone if node not in self._scheduler.unheard]
@@ -192,49 +195,55 @@
             self.registered.discard(node)
             if node in self._scheduler.vm_by_node:
                 self._scheduler.vm_by_node[node].registered = False
-        outcome = await self._store.write(Txn(self._as_known(batch), deletes=deletes))
-        self._note_agents(batch, outcome, named=False)
+        outcome = await self._store.write(
+            Txn(self._agents_unchanged(batch), deletes=deletes)
+        )
+        self._note_agents(batch, outcome, registered=False)
         if not isinstance(outcome, Written):
             self.dirty.set()
-            await asyncio.sleep(RETRY_SECONDS)
+            await asyncio.sleep(RETRY_PAUSE_SECONDS)
 
-    def _as_known(self, nodes: list[NodeId]) -> list[Compare]:
+    def _agents_unchanged(self, nodes: list[NodeId]) -> list[Compare]:
         # A delete without an answer may be carried out seconds later, when the agent is
         # back, is named again and has work: the next leader would not wait for it, and
         # would start the same work elsewhere. It must find the key as it was.
-        known = self._revision_by_agent
-        return [self._mine()] + [
-            Compare(agent_key(node), known.get(node, 0), absent=not known.get(node))
+        revision_by_agent = self._revision_by_agent
+        return [self._leader_unchanged()] + [
+            Compare(
+                agent_key(node),
+                revision_by_agent.get(node, 0),
+                absent=not revision_by_agent.get(node),
+            )
             for node in nodes
         ]
 
     def _note_agents(
-        self, nodes: list[NodeId], outcome: WriteOutcome, *, named: bool
+        self, nodes: list[NodeId], outcome: WriteOutcome, *, registered: bool
     ) -> None:
         if isinstance(outcome, Written):
-            revision = outcome.store_revision if named else 0
+            revision = outcome.store_revision if registered else 0
             self._revision_by_agent.update(dict.fromkeys(nodes, revision))
-        elif isinstance(outcome, Conflict) and not self._lost_office(outcome):
+        elif isinstance(outcome, Conflict) and not self._lost_leadership(outcome):
             revision_by_key = {f.key: f.mod_revision for f in outcome.current}
             for node in nodes:
                 found = revision_by_key.get(agent_key(node), 0)
                 self._revision_by_agent[node] = found
 
-    def _lost_office(self, conflict: Conflict) -> bool:
+    def _lost_leadership(self, conflict: Conflict) -> bool:
         revision_by_key = {f.key: f.mod_revision for f in conflict.current}
-        if revision_by_key.get(LEADER_KEY) == self._office.leader_revision:
+        if revision_by_key.get(LEADER_KEY) == self._lease.leader_revision:
             return False
-        self._office.laid_down.set()
+        self._lease.stepped_down.set()
         return True
 
-    def _mine(self) -> Compare:
-        return Compare(LEADER_KEY, self._office.leader_revision)
+    def _leader_unchanged(self) -> Compare:
+        return Compare(LEADER_KEY, self._lease.leader_revision)
 
     async def _write_records(self, changed: list[JobEntry]) -> bool:
         """Write the first of the changed records, as many as fit into one write."""
         entries, values = _batch(changed)
         versions = [entry.version for entry in entries]
-        compares = [self._mine()]
+        compares = [self._leader_unchanged()]
         puts = {}
         for entry, value in zip(entries, values, strict=True):
             key = record_key(entry.job.id)
@@ -253,12 +262,12 @@
             for entry, version in zip(entries, versions, strict=True):
                 entry.store_revision = outcome.store_revision
                 self._scheduler.committed(entry, version)
-            self._forgive_failures()
-            await self._tell_committed()
+            self._discount_shared_failures()
+            await self._notify_committed()
             return True
         if isinstance(outcome, Conflict):
             self._after_conflict(outcome, entries, versions, values)
-            await self._tell_committed()
+            await self._notify_committed()
             return True
         return False
 
@@ -269,7 +278,7 @@
         versions: list[int],
         values: list[bytes],
     ) -> None:
-        if self._lost_office(conflict):
+        if self._lost_leadership(conflict):
             return
         found_by_key = {found.key: found for found in conflict.current}
         # An earlier write without an answer took effect after all.
@@ -279,13 +288,13 @@
             if found is not None and found.value == value:
                 self._scheduler.committed(entry, version)
 
-    async def _tell_committed(self) -> None:
+    async def _notify_committed(self) -> None:
         self._on_progress()
         async with self._committed:
             self._committed.notify_all()
 
-    async def _forget_old(self) -> None:
-        horizon = self._wall_clock() - self._status_kept - FORGET_SLACK
+    async def _delete_expired(self) -> None:
+        horizon = self._wall_clock() - self._status_kept - EXPIRY_MARGIN_SECONDS
         book = self._scheduler.book
         old = [
             entry
@@ -297,7 +306,9 @@
         if not old:
             return
         batch = old[:JOBS_PER_DELETE]
-        txn = Txn([self._mine()], deletes=_keys(entry.job.id for entry in batch))
+        txn = Txn(
+            [self._leader_unchanged()], deletes=_keys(entry.job.id for entry in batch)
+        )
         if isinstance(await self._store.write(txn), Written):
             for entry in batch:
                 del book.entry_by_id[entry.job.id]
--- a/wagtailcleat/cluster/submissions.py
+++ b/wagtailcleat/cluster/submissions.py
@@ -50,11 +50,11 @@
 
 log = part_logger("submissions")
 
-LEADER_TIMEOUT = 0.8
+LEADER_TIMEOUT_SECONDS = 0.8
 """For an answer of the leader; after that the store is asked."""
-CANCEL_TIMEOUT = 1.2
-RETRY_SECONDS = 0.1
-ANSWER_MARGIN = 0.15
+CANCEL_TIMEOUT_SECONDS = 1.2
+RETRY_PAUSE_SECONDS = 0.1
+ANSWER_MARGIN_SECONDS = 0.15
 """Seconds before the caller's deadline at which the answer is sent."""
 
 
@@ -96,7 +96,7 @@
         self._leadership = leadership
         self._leader = leader
         self._clock = clock
-        self._telling: set[asyncio.Task[None]] = set()
+        self._notifying: set[asyncio.Task[None]] = set()
 
     def __repr__(self) -> str:
         """Show who leads."""
@@ -113,7 +113,7 @@
         value = encode(job)
         unknown = False
         while True:
-            outcome = await self._store_anywhere(job.id, value)
+            outcome = await self._store_or_relay(job.id, value)
             if outcome is Acceptance.ACCEPTED:
                 log.info("Accepted", extra={"job": job.id, "queue": job.queue})
                 return outcome
@@ -121,9 +121,12 @@
             unknown = unknown or outcome is Acceptance.UNKNOWN
             now = self._clock()
             hopeless = self._store.away(now) and not unknown
-            if hopeless or now + RETRY_SECONDS + ANSWER_MARGIN >= deadline:
+            if (
+                hopeless
+                or now + RETRY_PAUSE_SECONDS + ANSWER_MARGIN_SECONDS >= deadline
+            ):
                 break
-            await asyncio.sleep(RETRY_SECONDS)
+            await asyncio.sleep(RETRY_PAUSE_SECONDS)
         verdict = Acceptance.UNKNOWN if unknown else Acceptance.NOT_STORED
         log.warning(
             "Not accepted",
@@ -135,7 +138,7 @@
         )
         return verdict
 
-    async def _store_anywhere(self, job: JobId, value: bytes) -> Acceptance:
+    async def _store_or_relay(self, job: JobId, value: bytes) -> Acceptance:
         outcome = Acceptance.NOT_STORED
         if not self._store.away(self._clock()):
             outcome = await self.store(job, value)
@@ -161,18 +164,18 @@
         )
         if isinstance(outcome, Written | Conflict):
             if isinstance(outcome, Written):
-                self._tell(Submitted(job, value))
+                self._spawn_notification(Submitted(job, value))
             return Acceptance.ACCEPTED
         if isinstance(outcome, Unknown):
             return Acceptance.UNKNOWN
         return Acceptance.NOT_STORED
 
-    def _tell(self, message: Submitted) -> None:
-        task = asyncio.create_task(self._tell_leader(message))
-        self._telling.add(task)
-        task.add_done_callback(self._telling.discard)
+    def _spawn_notification(self, message: Submitted) -> None:
+        task = asyncio.create_task(self._notify_leader(message))
+        self._notifying.add(task)
+        task.add_done_callback(self._notifying.discard)
 
-    async def _tell_leader(self, message: Submitted) -> None:
+    async def _notify_leader(self, message: Submitted) -> None:
         own = self._leader()
         if own is not None:
             await own.submitted(message)
@@ -180,7 +183,7 @@
         await self._call(message)
 
     async def _call(
-        self, message: AnyMessage, timeout: float = LEADER_TIMEOUT
+        self, message: AnyMessage, timeout: float = LEADER_TIMEOUT_SECONDS
     ) -> AnyMessage | Lost:
         leader = self._leadership.leader
         if not leader.epoch:
@@ -218,7 +221,12 @@
     ) -> JobState | NoSuchJob | NotAnswered:
         """Cancel a job for good; its state afterwards is final."""
         own = self._leader()
-        left = max(0.1, min(CANCEL_TIMEOUT, deadline - self._clock() - ANSWER_MARGIN))
+        left = max(
+            0.1,
+            min(
+                CANCEL_TIMEOUT_SECONDS, deadline - self._clock() - ANSWER_MARGIN_SECONDS
+            ),
+        )
         if own is not None and own.ready:
             shown: AnyMessage | Lost = await own.cancel(CancelSteps(job), left)
         else:
--- a/wagtailcleat/cluster/timing.py
+++ b/wagtailcleat/cluster/timing.py
@@ -1,80 +1,84 @@
-"""Seconds of every interval, lease and bound between entries and agents.
+"""Intervals, leases and time limits between entries, agents, workers and the store.
 
-Each leader counts on agents keeping to the same values.
+A leader relies on all agents using the same values as it does.
 """
 
-LEADER_VALID = 2.2
-"""How long a leader may act after a renewal, counted from sending it.
+LEADER_LEASE_SECONDS = 2.2
+"""How long a leader may act after a renewal, counted from when it was sent.
 
-A silent leader is replaced after this time; a store that does not answer for longer
-stops starts unless every entry gives its word not to claim.
+A silent leader is replaced after this time. If the store does not answer for longer,
+no runs are started unless every other entry promises not to claim.
 """
-CLAIM_AFTER = 2.5
-"""How long the leader's beat must stand still before another entry claims.
+CLAIM_AFTER_SECONDS = 2.5
+"""How long the leader's heartbeat must be unchanged before another entry claims.
 
-Longer than `LEADER_VALID` by more than the clocks drift in that time.
+Longer than `LEADER_LEASE_SECONDS` by more than the clocks drift in that time.
 """
-REFUSED_STANDS = 0.8
-"""How long the beat must stand still where the leader's port refuses connections.
+REFUSED_CLAIM_AFTER_SECONDS = 0.8
+"""The same if the leader's port refuses connections.
 
-Longer than `RENEW_EVERY`: two entries cut from each other by refusals, both with the
-store, would else take the office from each other again and again. What a new leader
-waits for does not rest on it.
+Longer than `RENEWAL_INTERVAL_SECONDS`: otherwise two entries that refuse each other's
+connections because of a partition, and that both reach the store, would replace each
+other again and again. How long a new leader waits does not depend on this value.
 """
-STEADY_SECONDS = 10.0
-"""How long an entry must have known the leader to claim at its first refusal, without
-waiting for the beat: of a leader that has just claimed a refusal may be the cut's."""
-LOOK_SOON = 0.1
-"""How often an entry looks while the leader's port refuses connections."""
-RENEW_EVERY = 0.6
-"""A third of `LEADER_VALID` and less, so that two lost renewals do no harm."""
-PROBE_EVERY = 0.4
+ESTABLISHED_LEADER_SECONDS = 10.0
+"""How long an entry must have known a leader to claim at the first refused connection.
+
+It then does not wait for the heartbeat. The refusal by a leader that has just claimed
+may come from the partition that led to the claim.
+"""
+REFUSED_PROBE_INTERVAL_SECONDS = 0.1
+"""Interval of probes while the leader's port refuses connections."""
+RENEWAL_INTERVAL_SECONDS = 0.6
+"""Less than a third of `LEADER_LEASE_SECONDS`, so that two renewals may be lost."""
+PROBE_INTERVAL_SECONDS = 0.4
 """How often an entry asks the leader whether it still leads."""
-PROBE_TIMEOUT = 0.6
-STORE_SILENT = 0.6
-"""After how long without the store a leader looks for an entry that reaches it."""
-REPORT_EVERY = 0.3
-"""How often an agent reports at least; it reports at once when a run ends."""
-REPORT_TIMEOUT = 0.8
-LOOK_AGAIN = 0.15
+PROBE_TIMEOUT_SECONDS = 0.6
+STORE_SILENT_SECONDS = 0.6
+"""How long the store must not answer before a leader hands over to an entry that
+reaches it."""
+REPORT_INTERVAL_SECONDS = 0.3
+"""The longest interval between an agent's reports; it reports at once if a run ends."""
+REPORT_TIMEOUT_SECONDS = 0.8
+LEADER_SEARCH_PAUSE_SECONDS = 0.15
 """Pause between two attempts to find the leader."""
-RUN_LEASE = 4.8
-"""How long runs go on at a worker without a renewal by its agent.
+RUN_LEASE_SECONDS = 4.8
+"""How long a worker continues runs whose leases its agent does not renew.
 
-Agents that were killed are back within 3.5 s; the work of a worker that went dark
-starts again elsewhere only after this time.
+Agents that were killed are back within 3.5 s. The work of a worker that can't be
+reached starts again elsewhere only after this time.
 """
-RUN_HORIZON = 5.0
-"""How long runs go on after their agent last reached the leader.
+RUN_CONTACT_LIMIT_SECONDS = 5.0
+"""How long runs continue after their agent last reached the leader.
 
-Longer than it takes to replace a silent leader, so that its death stops no work; no
+Longer than it takes to replace a silent leader, so that its death stops no work. Not
 longer, because a new leader waits this long for agents that it can't reach.
 """
-CLOCK_DRIFT = 1.02
-"""A worker's clock may be this much slow (the platform's word)."""
-PREDECESSOR_SECONDS = LEADER_VALID * CLOCK_DRIFT
-"""How long after a claim an earlier leader may act, at most, where nothing shows that
-it acts no more: its renewals and the words given to it are older than the claim."""
-GIVE_UP_AFTER = RUN_HORIZON * CLOCK_DRIFT + 0.3
-"""When a leader counts the runs of an agent as lapsed that it does not hear from."""
-WORKER_CALL = 0.35
-"""Bound of a call to the worker: it runs on the same VM and answers at once."""
-LIST_WAIT = 0.4
-"""How long the worker may hold back a list until a run ends."""
-WORKER_SILENT = 0.9
-"""After how long without a list no more starts are given to a worker."""
-STOP_AGAIN = 1.0
-"""After how long a stop is repeated for a run that is still listed."""
-STORE_CALL = 1.0
-"""Bound of a call to the store: it takes 4 ms, and 60 times as long when slow."""
-QUEUES_WAIT = 2.0
-"""How long a watch on the configuration waits.
+CLOCK_DRIFT_FACTOR = 1.02
+"""How much slower a worker's clock may run; the platform guarantees this bound."""
+PREDECESSOR_LEASE_SECONDS = LEADER_LEASE_SECONDS * CLOCK_DRIFT_FACTOR
+"""How long after a claim an earlier leader may still act, unless it is known to have
+stopped: its renewals, and the promises made to it, are older than the claim."""
+AGENT_EXPIRY_SECONDS = RUN_CONTACT_LIMIT_SECONDS * CLOCK_DRIFT_FACTOR + 0.3
+"""How long after its last report a leader counts an agent's runs as lapsed."""
+WORKER_CALL_SECONDS = 0.35
+"""Time limit of a call to the worker, which runs on the same VM and answers at once."""
+LIST_WAIT_SECONDS = 0.4
+"""How long the worker may delay the answer to a list until a run ends."""
+WORKER_SILENT_SECONDS = 0.9
+"""How long after its last list a worker is given no more starts."""
+STOP_REPEAT_SECONDS = 1.0
+"""How long after a stop it is repeated if the run is still listed."""
+STORE_CALL_SECONDS = 1.0
+"""Time limit of a call to the store, which takes 4 ms, and 60 times as long if slow."""
+CONFIGURATION_WATCH_SECONDS = 2.0
+"""How long a watch on the configuration waits for a change.
 
-A connection that went silent is noticed after this time and half a second more.
+A silent connection is noticed after this time and half a second more.
 """
-ZONES_WAIT = 4.0
-"""The same for an agent's watch on zones taken out."""
-JOBS_WAIT = 2.0
-"""The same for the leader's watch on jobs."""
-CANCEL_ANSWER = 1.0
-"""Within which the leader answers an entry that a cancellation is stored."""
+ZONES_WATCH_SECONDS = 4.0
+"""How long an agent's watch on the zones taken out waits for a change."""
+JOBS_WATCH_SECONDS = 2.0
+"""How long the leader's watch on jobs waits for a change."""
+CANCEL_ANSWER_SECONDS = 1.0
+"""Time limit for the leader to store a cancellation before it answers the entry."""
