--- a/wagtailcleat/cluster/agent_app.py
+++ b/wagtailcleat/cluster/agent_app.py
@@ -1,4 +1,4 @@
-"""`wagtailcleat-agent` on the platform: one beside each worker."""
+"""`wagtailcleat-agent` on the platform: one runs on the VM of each worker."""
 
 import itertools
 import sys
@@ -9,7 +9,7 @@
 from wagtailcleat.cluster.following import Following
 from wagtailcleat.cluster.hosting import Hosting
 from wagtailcleat.cluster.operator_watch import OperatorWatch
-from wagtailcleat.cluster.program import Base, make_base, serve_metrics
+from wagtailcleat.cluster.program import CommonParts, make_common_parts, serve_metrics
 from wagtailcleat.cluster.program import main as run
 from wagtailcleat.cluster.settings import AgentSettings, split_address
 from wagtailcleat.cluster.timing import ZONES_WATCH_SECONDS
@@ -23,20 +23,20 @@
 
 
 class Agent:
-    """The parts of an agent, wired."""
+    """The composition of an agent."""
 
     def __init__(self, settings: AgentSettings) -> None:
-        """Wire the parts; nothing runs yet."""
+        """Create the parts; nothing runs yet."""
         self.settings = settings
         self._report_numbers = itertools.count(1)
-        self.base: Base = make_base(settings, Role.AGENT)
-        base = self.base
+        self.common: CommonParts = make_common_parts(settings, Role.AGENT)
+        common = self.common
         self.operators = OperatorWatch(
-            base.store, wait_seconds=ZONES_WATCH_SECONDS, zones_only=True
+            common.store, wait_seconds=ZONES_WATCH_SECONDS, zones_only=True
         )
         self.following = Following(
-            store=base.store,
-            peers=base.peers,
+            store=common.store,
+            peers=common.peers,
             clock=boot_time,
             entries=[
                 (split_address(seed)[0], settings.peer_port) for seed in settings.seeds
@@ -54,8 +54,8 @@
             zone_out=lambda zone: zone in self.operators.zones_out,
             on_change=self.following.news,
         )
-        base.dispatch.add_plain({Leads: self.following.leader_announced})
-        base.dispatch.add({Orders: self.following.orders})
+        common.dispatch.add_plain({Leads: self.following.leader_announced})
+        common.dispatch.add({Orders: self.following.orders})
         self._add_metrics()
 
     def __repr__(self) -> str:
@@ -63,8 +63,8 @@
         return f"<Agent {self.settings.node}>"
 
     def start(self) -> None:
-        """Serve."""
-        supervisor = self.base.supervisor
+        """Start the background tasks and the servers."""
+        supervisor = self.common.supervisor
         supervisor.spawn("operators", self.operators.run)
         supervisor.spawn("following", self.following.run)
         supervisor.spawn("hosting", self.hosting.run)
@@ -73,19 +73,22 @@
             heartbeat_application(self.hosting.take_heartbeat, self.hosting.leave)
         )
         server.listen(port, host)
-        serve_metrics(self.base, self.settings)
+        serve_metrics(self.common, self.settings)
 
     async def stop(self) -> None:
-        """End; runs go on until their leases end, and a next life adopts them."""
-        await self.base.supervisor.stop()
-        self.base.close()
+        """End without stopping the runs.
+
+        They continue until their leases expire; the next incarnation adopts them.
+        """
+        await self.common.supervisor.stop()
+        self.common.close()
 
     def _report(self, epoch: Epoch, orders_taken: int) -> Report:
         hosting = self.hosting
         now = boot_time()
         return Report(
             NodeId(self.settings.node),
-            self.base.identity.incarnation,
+            self.common.identity.incarnation,
             ZoneName(self.settings.zone),
             self.settings.peer_host,
             self.settings.peer_port,
@@ -118,7 +121,7 @@
         self.hosting.acknowledge(orders.born, orders.acknowledged)
 
     def _add_metrics(self) -> None:
-        metric = self.base.introspection.metric
+        metric = self.common.introspection.metric
         metric(
             Kind.GAUGE,
             "runs",
--- a/wagtailcleat/cluster/checkpoint_delta.py
+++ b/wagtailcleat/cluster/checkpoint_delta.py
@@ -1,9 +1,11 @@
-"""Leaves out of an agent's reports the checkpoints that the leader knows.
+"""Omit from an agent's reports the checkpoints that the leader already has.
 
-A report renews the leases of all runs of a VM, and checkpoints are nearly all of its
-bytes. Each checkpoint is therefore sent until a report with it was answered, and a
-report carries no more bytes of them than the link to the leader has shown to bear:
-the reports of all agents arrive there together after a change of leader.
+A report renews the leases of all runs of a VM, and checkpoints make up nearly all of
+its size. So a checkpoint is sent only until a report with it was answered, and a window
+limits their size in one report to what the link to the leader carries: after a change
+of leader, the reports of all agents arrive there together.
+
+`following` passes each report through a `CheckpointDelta` before it is sent.
 """
 
 from collections.abc import Iterable
@@ -16,15 +18,15 @@
 from wagtailcleat.wire.scheduling import Report
 
 FIRST_BYTES = 1024
-"""Checkpoints in the first report to a leader."""
+"""Size limit of the checkpoints in the first report to a leader."""
 LARGEST_BYTES = 256 * 1024
-"""Checkpoints in a report at the most."""
+"""Upper limit of the size of the checkpoints in one report."""
 SLOW_ANSWER_SECONDS = 0.2
-"""An answer that takes longer shows that a link is filling up."""
+"""An answer that takes longer is a sign of congestion on the link."""
 
 
 class _Sent(NamedTuple):
-    """The last checkpoint of a run that the leader took in."""
+    """The last checkpoint of a run that the leader has received."""
 
     checkpoint: str
     report: int
@@ -32,31 +34,32 @@
 
 
 class CheckpointDelta:
-    """What the leader of one epoch knows, and how much a report may carry."""
+    """The checkpoints that one epoch's leader has, and the window of a report."""
 
     def __init__(self) -> None:
-        """Know of no leader yet."""
+        """Start without a leader."""
         self._context: tuple[Epoch, int] | None = None
-        """Epoch of the leader, and `born` of the worker's life."""
+        """Epoch of the leader, and `born` of the worker's incarnation."""
         self._sent_by_run: dict[RunKey, _Sent] = {}
         self._last_end = 0
-        """The leader took in the worker's ends up to this number."""
+        """The leader has received the worker's ends up to this number."""
         self._window = FIRST_BYTES
-        """Bytes of checkpoints that the next report may carry."""
+        """Size limit of the checkpoints in the next report."""
         self._limit = LARGEST_BYTES
-        """How far the window may grow."""
+        """Upper limit of the window; lower after a lost report."""
         self._full = False
-        """Whether the last report left a checkpoint out for want of room."""
+        """Whether the last report omitted a checkpoint that exceeded the window."""
 
     def __repr__(self) -> str:
         """Show the window."""
         return f"<CheckpointDelta {self._window} of {self._limit} bytes>"
 
     def shorten(self, report: Report) -> Report:
-        """Return the report with the checkpoints that are new and have room.
+        """Return the report with those new checkpoints that fit into the window.
 
-        The runs of ends that have no room are listed as unsettled: they keep their room
-        on the VM, and their tasks wait, until a later report tells how they ended.
+        Ends that do not fit are omitted and their runs listed as unsettled: the leader
+        keeps their resources on the VM reserved, and their tasks wait, until a later
+        report contains the ends.
         """
         born = report.worker.born if report.worker is not None else 0
         if self._context != (report.epoch, born):
@@ -71,7 +74,7 @@
         )
 
     def answered(self, report: Report, *, seconds: float) -> None:
-        """Note that a shortened report was answered `seconds` after it was sent."""
+        """Record that a shortened report was answered `seconds` after it was sent."""
         sent_by_run = {}
         for running in report.running:
             if running.checkpoint:
@@ -88,7 +91,7 @@
             self._window = min(self._limit, max(FIRST_BYTES, 2 * self._window))
 
     def lost(self) -> None:
-        """Note that a report was not answered: the next one carries no checkpoint."""
+        """Record that a report was not answered; the next has no checkpoint."""
         self._limit = max(FIRST_BYTES, self._window // 2)
         self._window = 0
 
@@ -100,9 +103,10 @@
         self._limit = LARGEST_BYTES
 
     def _ends(self, listed: Iterable[Ended]) -> tuple[list[Ended], list[RunKey], int]:
-        """Return the ends to report, the runs of the others, and the room left.
+        """Return the ends to report, the runs of the omitted ones and the room left.
 
-        The leader takes ends in by their number: none may pass one that is left out.
+        The leader handles ends in the order of their numbers, so once one end is
+        omitted, all later ones are omitted too.
         """
         ends: list[Ended] = []
         left_out: list[RunKey] = []
@@ -119,7 +123,11 @@
         return ends, left_out, room
 
     def _running(self, listed: list[Running], room: int) -> list[Running]:
-        """Return what runs; the checkpoint that was sent longest ago goes first."""
+        """Return the runs; those whose checkpoint was sent longest ago come first.
+
+        The order decides which checkpoints get the room; the runs are returned as
+        listed.
+        """
         carried: set[RunKey] = set()
         for running in sorted(listed, key=lambda run: self._sent(run.key).report):
             if running.checkpoint == self._sent(running.key).checkpoint:
@@ -138,6 +146,6 @@
         return self._sent_by_run.get(run, _Sent("", 0))
 
     def _fits(self, checkpoint: str, room: int) -> bool:
-        # One that is larger than the window will ever be goes alone.
+        # A checkpoint larger than the upper limit of the window is sent alone.
         alone = room == self._window == self._limit
         return len(checkpoint) <= room or alone
--- a/wagtailcleat/cluster/entry_app.py
+++ b/wagtailcleat/cluster/entry_app.py
@@ -1,4 +1,4 @@
-"""`wagtailcleat-entry` on the platform: callers' HTTP, and one entry leads."""
+"""`wagtailcleat-entry` on the platform: serve callers, and lead if elected."""
 
 import asyncio
 import sys
@@ -12,7 +12,7 @@
 from wagtailcleat.cluster.leadership import Leadership
 from wagtailcleat.cluster.metrics import CallerMetrics, register_scheduler_metrics
 from wagtailcleat.cluster.operator_watch import OperatorWatch
-from wagtailcleat.cluster.program import Base, make_base, serve_metrics
+from wagtailcleat.cluster.program import CommonParts, make_common_parts, serve_metrics
 from wagtailcleat.cluster.program import main as run
 from wagtailcleat.cluster.settings import EntrySettings, split_address
 from wagtailcleat.cluster.submissions import Submissions
@@ -47,49 +47,52 @@
 log = part_logger("entry")
 
 BALANCER_NOTICE_SECONDS = 2.3
-"""Seconds in which the balancer notices that an entry is no longer ready: it asks
-once a second and passes it over after two misses."""
+"""How long the balancer takes to notice that an entry is no longer ready.
+
+It asks once a second, and sends no new connections after two failures.
+"""
 STOP_MARGIN_SECONDS = 1.0
-"""Seconds before the end of the grace at which this process ends by itself."""
+"""How long before the end of the grace period this process ends by itself."""
 MIN_CLOSE_SECONDS = 0.1
+"""Shortest time for which a stop waits for requests in progress."""
 BYTES_PER_MEGABIT = 125_000
 
 
 class Entry:
-    """The parts of an entry, wired."""
+    """The composition of an entry."""
 
     def __init__(self, settings: EntrySettings) -> None:
-        """Wire the parts; nothing runs yet."""
+        """Create the parts; nothing runs yet."""
         self.settings = settings
-        self.base: Base = make_base(settings, Role.ENTRY)
+        self.common: CommonParts = make_common_parts(settings, Role.ENTRY)
         self.leader: Leader | None = None
         self.stopping = False
-        base = self.base
+        common = self.common
         place = ProcessInfo(
             settings.peer_host,
             settings.peer_port,
-            int(base.identity.incarnation),
+            int(common.identity.incarnation),
             settings.cpu_share * settings.cpu_speed,
         )
         self.operators = OperatorWatch(
-            base.store, wait_seconds=CONFIGURATION_WATCH_SECONDS
+            common.store, wait_seconds=CONFIGURATION_WATCH_SECONDS
         )
         self.leadership = Leadership(
-            base.identity,
+            common.identity,
             place,
-            store=base.store,
-            peers=base.peers,
+            store=common.store,
+            peers=common.peers,
             clock=boot_time,
             lead=self._lead,
         )
         self.submissions = Submissions(
-            store=base.store,
-            peers=base.peers,
+            store=common.store,
+            peers=common.peers,
             leadership=self.leadership,
             leader=lambda: self.leader,
             clock=boot_time,
         )
-        base.dispatch.add_plain(
+        common.dispatch.add_plain(
             {
                 WhoLeads: self.leadership.who_leads,
                 Leads: self.leadership.leader_announced,
@@ -102,7 +105,7 @@
                 CountWaiting: self._count,
             }
         )
-        base.dispatch.add({Report: self._report})
+        common.dispatch.add({Report: self._report})
         self.advice = AdviceService(settings.advice) if settings.advice else None
         self.metrics = CallerMetrics()
         self._servers: list[HTTPServer] = []
@@ -113,8 +116,8 @@
         return f"<Entry {self.settings.node}>"
 
     def start(self) -> None:
-        """Serve."""
-        supervisor = self.base.supervisor
+        """Start the background tasks and the servers."""
+        supervisor = self.common.supervisor
         supervisor.spawn("operators", self.operators.run)
         supervisor.spawn("leadership", self.leadership.run)
         front = caller_server(
@@ -132,14 +135,14 @@
             host, port = split_address(address)
             server.listen(port, host, backlog=512)
             self._servers.append(server)
-        serve_metrics(self.base, self.settings)
+        serve_metrics(self.common, self.settings)
 
     def ready(self) -> bool:
-        """Tell the balancer whether to send new connections."""
+        """Return whether the balancer should send new connections."""
         return self.operators.queues is not None and not self.stopping
 
     async def stop(self) -> None:
-        """Hand over, finish what is in flight, then end."""
+        """Hand over leadership, finish requests in progress, then end."""
         self.stopping = True
         started_at = boot_time()
         await self.leadership.step_down()
@@ -152,14 +155,14 @@
             async with asyncio.timeout(max(MIN_CLOSE_SECONDS, end - boot_time())):
                 await front.close_all_connections()
         except TimeoutError:
-            log.warning("Requests were in flight at the end of the grace")
-        self.base.close()
+            log.warning("Requests still in progress at the end of the grace period")
+        self.common.close()
 
     async def _lead(self, lease: LeaderLease) -> None:
         leader = Leader(
             lease,
-            store=self.base.store,
-            peers=self.base.peers,
+            store=self.common.store,
+            peers=self.common.peers,
             leadership=self.leadership,
             clock=boot_time,
             wall_clock=wall_time,
@@ -174,8 +177,6 @@
         finally:
             self.leader = None
 
-    # ---- messages for the leader
-
     async def _report(
         self, stream: Stream, message: AnyMessage, outlet: Outlet
     ) -> AnyMessage:
@@ -216,12 +217,12 @@
         return leader.waiting(message)
 
     def _add_metrics(self) -> None:
-        self.metrics.register(self.base.introspection)
+        self.metrics.register(self.common.introspection)
         register_scheduler_metrics(
-            self.base.introspection,
+            self.common.introspection,
             lambda: self.leader.scheduler if self.leader else None,
         )
-        metric = self.base.introspection.metric
+        metric = self.common.introspection.metric
         metric(
             Kind.GAUGE,
             "leads",
--- a/wagtailcleat/cluster/following.py
+++ b/wagtailcleat/cluster/following.py
@@ -1,8 +1,7 @@
-"""How an agent finds the leader and reports to it.
+"""Find the leader and report to it; run by each agent.
 
-The answer to a report lets the agent carry out that leader's orders for a while,
-counted from sending the report; an order that was held up on its way counts for
-nothing after that.
+The answer to a report allows the agent to carry out that leader's orders for a limited
+time, counted from sending the report. An order that arrives later is not carried out.
 """
 
 import asyncio
@@ -41,16 +40,19 @@
 log = part_logger("following")
 
 COALESCE_SECONDS = 0.004
-"""Pause before a report that has news, so that ends of one moment go together."""
+"""Pause before a report of a change, so that one report has all ends of a moment."""
 SEARCHES_PER_STORE_READ = 3
-"""Every so many fruitless looks the store is asked too: a call there is priced."""
+"""Searches without success per read of the store, where each call is charged."""
 
 MakeReport = Callable[[Epoch, int], Report]
-"""Makes the report of an agent that follows an epoch and has taken orders up to one."""
+"""Returns an agent's report, given its epoch and the last orders' number."""
 
 
 class Following:
-    """An agent's tie to the leader."""
+    """The agent's side of its connection to the leader.
+
+    `epoch` is the epoch that the agent follows; it takes no orders of older ones.
+    """
 
     def __init__(
         self,
@@ -63,11 +65,16 @@
         on_answer: Callable[[Report], None],
         on_orders: Callable[[Orders], None],
     ) -> None:
-        """Wire it; `entries` are addresses that may know the leader."""
+        """Create an agent's connection, without a leader yet.
+
+        Parameters: `entries` are addresses of entries that may know the leader;
+        `on_answer` is called with each report that was answered.
+        """
         self.epoch = Epoch(0)
         self.contact_at = 0.0
-        """When a report of what runs that was answered was sent; 0 before the first."""
+        """When the last answered report that lists the runs was sent; 0 if none."""
         self.valid_until = 0.0
+        """Until when orders of the leader may be carried out."""
         self._leader: Leads | None = None
         self._orders_taken = 0
         self._store = store
@@ -80,7 +87,7 @@
         self._on_orders = on_orders
         self._news = asyncio.Event()
         self._announced = asyncio.Event()
-        """Set when a leader says that it leads."""
+        """Set when a leader announces itself."""
         self._searches = 0
         self._started_at = clock()
 
@@ -89,11 +96,11 @@
         return f"<Following epoch {self.epoch}>"
 
     def may_act(self) -> bool:
-        """Tell whether orders of the leader hold now."""
+        """Return whether orders of the leader may be carried out now."""
         return self._clock() < self.valid_until
 
     def news(self) -> None:
-        """Report soon."""
+        """Report soon, because something has changed."""
         self._news.set()
 
     async def leader_announced(self, message: AnyMessage) -> AnyMessage:
@@ -106,7 +113,7 @@
     async def orders(
         self, stream: Stream, message: AnyMessage, outlet: Outlet
     ) -> AnyMessage:
-        """Take in orders, unless they are of a leader that is not followed."""
+        """Carry out orders; refuse outdated ones and those of another epoch."""
         assert isinstance(message, Orders)
         if message.epoch != self.epoch or message.number <= self._orders_taken:
             return Refused(Code.CONFLICT.value, "not of the leader followed here")
@@ -115,7 +122,7 @@
         return Done()
 
     async def run(self) -> None:
-        """Report to the leader, or look for it, for ever."""
+        """Report to the leader, or search for it, until cancelled."""
         while True:
             try:
                 async with asyncio.timeout(REPORT_INTERVAL_SECONDS):
@@ -142,7 +149,7 @@
         answer = await stream.call(report, timeout=REPORT_TIMEOUT_SECONDS)
         if isinstance(answer, Lost):
             self._delta.lost()
-            # Orders that are held up on this connection must not be taken later.
+            # Orders that are delayed on this connection must not be accepted later.
             stream.close("a report was not answered")
             return False
         if isinstance(answer, FollowFirst):
@@ -154,11 +161,13 @@
         if not isinstance(answer, ReportTaken) or answer.epoch != self.epoch:
             return False
         if answer.valid_seconds <= 0:
-            # It counts as no contact: a next leader may have counted from before it.
+            # This does not count as a contact: the time for which the next leader waits
+            # for this agent may have begun before this report.
             return False
         if report.listed:
-            # Runs may go on for as long after this as the leader counts on. It knows
-            # nothing of what runs where nothing is listed, and must not be taken to.
+            # Runs continue after this for as long as the leader assumes. If the report
+            # lists no runs, the leader does not know what runs here, so the report
+            # must not prolong the runs.
             self.contact_at = sent_at
         self.valid_until = sent_at + answer.valid_seconds
         self._delta.answered(report, seconds=self._clock() - sent_at)
@@ -166,15 +175,16 @@
         return True
 
     async def _wait_until_announced(self) -> None:
-        # A leader that restores its book takes no reports yet and says when it does.
-        # All agents reporting again at once would fill the link that it restores over.
+        # A leader that is restoring its jobs accepts no reports, and announces itself
+        # once it does. If all agents repeated their reports at once, they would fill
+        # the link that the leader restores over.
         self._announced.clear()
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(LEADER_SEARCH_PAUSE_SECONDS):
                 await self._announced.wait()
 
     async def _follow(self, epoch: Epoch) -> bool:
-        """Follow a later epoch and report soon; tell whether it may be followed."""
+        """Follow a later epoch and report soon; return False if it is outdated."""
         if epoch <= self.epoch or not await self._is_latest_epoch(epoch):
             return False
         log.info("Follows", extra={"epoch": epoch})
@@ -185,10 +195,10 @@
         return True
 
     async def _is_latest_epoch(self, epoch: Epoch) -> bool:
-        # A leader may count on it that an agent it has heard takes no older orders. An
-        # earlier life of this process may have been heard just before it ended, and the
-        # leader before that one may still act: until it surely does not, the store
-        # tells which epoch is the last.
+        # A leader relies on an agent that has reported to it to accept no orders of
+        # earlier epochs. An earlier incarnation of this process may have reported just
+        # before it ended, while an earlier leader may still act. Until that leader's
+        # lease has certainly expired, the latest epoch is read from the store.
         if self._clock() - self._started_at > PREDECESSOR_LEASE_SECONDS:
             return True
         found = await self._store.get(LEADER_KEY)
@@ -222,7 +232,8 @@
         await asyncio.sleep(LEADER_SEARCH_PAUSE_SECONDS)
 
     def _candidates(self) -> Iterator[tuple[str, int]]:
-        # One a look, in turn: an entry that is cut off must not hold up the search.
+        # One entry per search, in turn: an entry that can't be reached must not delay
+        # the search.
         if self._entries:
             yield self._entries[self._searches % len(self._entries)]
 
--- a/wagtailcleat/cluster/hosting.py
+++ b/wagtailcleat/cluster/hosting.py
@@ -1,8 +1,8 @@
-"""The agent's hold on its worker: one life after the other, runs, orders, leases.
+"""An agent's control of its worker: heartbeats, runs, their leases, and orders.
 
-The agent alone orders the worker. Each life of this process uses a fence of its own,
-higher than those before, so that a start that an earlier life sent, and that the
-worker gets late, is refused.
+Only the agent gives orders to the worker. Each incarnation of the agent uses a higher
+fencing token (`fence`) than those before, so the worker refuses a delayed start that an
+earlier incarnation has sent. `agent_app` runs one `Hosting`.
 """
 
 import asyncio
@@ -46,48 +46,60 @@
 
 MILLISECONDS = 1000
 RETRY_PAUSE_SECONDS = 0.1
-"""Pause after a call to the worker that failed."""
+"""Pause after a failed call to the worker."""
 MIN_LIST_INTERVAL_SECONDS = 0.05
-"""Shortest time between two lists: one that names an end already known returns at
-once."""
+"""Shortest time between two lists.
+
+The worker does not delay the answer if the list has an end, even one that is known.
+"""
 CLOSE_DELAY_SECONDS = 3.0
-"""When the connections to an earlier life are closed: its calls have all timed out."""
+"""Delay before connections to an earlier incarnation of the worker are closed.
+
+All calls on them have timed out by then.
+"""
 REFUSALS_UNTIL_LOST = 3
-"""Connections refused in a row, a tenth of a second apart, that show a dead worker."""
+"""Refused connections in a row, 0.1 s apart, that show that the worker has ended."""
 LEASE_EXPIRY_MARGIN_SECONDS = 0.2
-"""How much longer than its lease a run is taken to go on, in seconds."""
+"""How long after its lease has expired a run is assumed to continue."""
 FRESH_LISTS = 2
-"""Lists begun after an order was answered show its effect; the one that was under
-way at that time may not."""
+"""Lists to wait for until one shows the effect of an order.
+
+The list that was in progress when the order was answered may not show it.
+"""
 
 
 @dataclass(eq=False)
 class _WorkerIncarnation:
-    """One life of the worker, and this process's orders to it."""
+    """One incarnation of the worker, with its runs and leases as last known."""
 
     worker: RunWorker
     born: int
     address: str
     instance: str
-    offset: float = 0.0
-    """What the worker's clock is ahead of this VM's, at least; seconds."""
-    lists: int = 0
-    """Lists answered so far."""
+    clock_ahead: float = 0.0
+    """How far the worker's clock is ahead of this VM's, at least, in seconds."""
+    lists_answered: int = 0
+    """Number of answered lists."""
     listed_at: float = 0.0
     running: list[Running] = field(default_factory=list)
     ended: list[Ended] = field(default_factory=list)
     ends_whole: bool = True
-    """Whether the worker had a place for every end in its list."""
+    """Whether the last list contains every unacknowledged end."""
     acknowledged: int = 0
     lease_until: float = 0.0
-    """When the leases end at the latest, on this VM's clock."""
+    """The latest time at which the leases expire, on this VM's clock."""
     runs_lost: bool = False
+    """Whether the worker's runs count as lost since the last list."""
     refusals: int = 0
-    """Connections refused in a row."""
+    """Number of connections refused in a row."""
 
 
 class Hosting:
-    """The worker of this VM and what it runs."""
+    """The worker of this VM and its runs.
+
+    `info` is None until the first heartbeat. `unsettled_by_run` has the starts whose
+    outcome is not known yet, `refusal_by_run` the runs that were not started.
+    """
 
     def __init__(
         self,
@@ -100,16 +112,17 @@
         zone_out: Callable[[ZoneName], bool],
         on_change: Callable[[], None],
     ) -> None:
-        """Wire it.
+        """Create it without a worker.
 
-        Parameters: `own_host` is the address of this VM; `lease_limit` is the
-        longest lease that the platform grants; `may_start` tells whether the leader's
-        orders hold now; `leader_contact_at` returns when the leader was last reached;
-        `on_change` is called when there is news.
+        Parameters: `own_host` is the address of this VM; `lease_limit` is the longest
+        lease that the platform grants, in seconds; `may_start` returns whether the
+        leader's orders may be carried out now; `leader_contact_at` returns when the
+        leader was last reached; `zone_out` returns whether operators have taken a zone
+        out; `on_change` is called when there is something to report.
         """
         self.info: WorkerInfo | None = None
         self.left = False
-        """Whether the worker has left for good, and none has come since."""
+        """Whether the worker has left for good and no other one has begun."""
         self.unsettled_by_run: dict[RunKey, Start] = {}
         self.refusal_by_run: dict[RunKey, Refusal] = {}
         self._clock = clock
@@ -126,63 +139,62 @@
         self._work: set[asyncio.Task[None]] = set()
 
     def __repr__(self) -> str:
-        """Show the worker and how much runs."""
+        """Show the worker and its number of runs."""
         return f"<Hosting {self.info and self.info.id}: {len(self.running)} runs>"
 
-    # ---- what there is to report
-
     @property
     def listed(self) -> bool:
-        """Whether the worker has shown in this life what runs."""
+        """Whether it is known what this incarnation of the worker runs."""
         return self._incarnation is not None and (
-            self._incarnation.lists > 0 or self._incarnation.runs_lost
+            self._incarnation.lists_answered > 0 or self._incarnation.runs_lost
         )
 
     @property
     def running(self) -> list[Running]:
-        """What runs, as last listed."""
+        """Runs in progress, as last listed."""
         return self._incarnation.running if self._incarnation else []
 
     @property
     def ended(self) -> list[Ended]:
-        """Ends not yet acknowledged, as last listed."""
+        """Unacknowledged ends of runs, as last listed."""
         return self._incarnation.ended if self._incarnation else []
 
     @property
     def ends_whole(self) -> bool:
-        """Whether `ended` has every end."""
+        """Whether `ended` has every unacknowledged end."""
         return self._incarnation is None or self._incarnation.ends_whole
 
     @property
     def refusals(self) -> int:
-        """Connections that the worker's port refused in a row."""
+        """Number of connections that the worker's port has refused in a row."""
         return self._incarnation.refusals if self._incarnation else 0
 
     def silent_seconds(self, now: float) -> float:
-        """Return for how long the worker has not answered; 0 while it does."""
-        if self._incarnation is None or not self._incarnation.lists:
+        """Return for how many seconds the worker has not answered; 0 while it does."""
+        if self._incarnation is None or not self._incarnation.lists_answered:
             return 0.0
         silent = now - self._incarnation.listed_at
         if self._incarnation.runs_lost:
-            # Its runs were given up: to the leader the VM would look free, and what it
-            # started there would be in doubt until the worker comes back, if ever.
+            # Its runs count as lost, so the leader would take the VM for free, and
+            # starts there would be in doubt until the worker is back, if ever.
             return max(silent, WORKER_SILENT_SECONDS)
         return silent if silent > WORKER_SILENT_SECONDS else 0.0
 
     def lease_seconds(self, now: float) -> float:
-        """Return for how long runs may go on, at most, without a renewal."""
+        """Return for how many seconds, at most, runs continue without a renewal."""
         if self._incarnation is None:
             return 0.0
         return max(0.0, self._incarnation.lease_until - now)
 
-    # ---- heartbeats
-
     async def take_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """Take in a heartbeat; a late one of an earlier life is passed over."""
+        """Handle a heartbeat; ignore one of an earlier incarnation of the worker."""
         worker = heartbeat.worker
         incarnation = self._incarnation
         if incarnation is not None and worker.born < incarnation.born:
-            log.info("Late heartbeat", extra={"worker": worker.id})
+            log.info(
+                "Late heartbeat of an earlier worker ignored",
+                extra={"worker": worker.id},
+            )
             return
         new = incarnation is None or (worker.born, worker.id) != (
             incarnation.born,
@@ -201,11 +213,17 @@
             self._on_change()
 
     async def leave(self, instance: str, born: int) -> None:
-        """Note that the worker has left for good, in the life that was born then."""
+        """Handle the message that the worker has left for good.
+
+        Parameters: `born` is the birth time of the incarnation that has left; 0 if it
+        is not known.
+        """
         if self._incarnation is not None and 0 < born < self._incarnation.born:
-            # Held up on its way: the next life runs work, which would count as gone
-            # and start elsewhere while it goes on.
-            log.info("Late leave", extra={"worker": instance})
+            # The message was delayed. The next incarnation of the worker already runs
+            # work, which would count as gone and start elsewhere while it continues.
+            log.info(
+                "Late leave of an earlier worker ignored", extra={"worker": instance}
+            )
             return
         log.info("Worker left", extra={"worker": instance})
         if self.info is not None and self.info.id == instance:
@@ -248,10 +266,8 @@
         self.unsettled_by_run.clear()
         self.refusal_by_run.clear()
 
-    # ---- lists and leases
-
     async def run(self) -> None:
-        """Renew leases and list runs, for ever."""
+        """Renew leases and list runs until cancelled."""
         while True:
             await self._worker_known.wait()
             incarnation = self._incarnation
@@ -274,8 +290,8 @@
             incarnation.lease_until = max(incarnation.lease_until, until)
         answer = await incarnation.worker.list(
             acknowledged=incarnation.acknowledged,
-            until=None if until is None else until + incarnation.offset,
-            wait_seconds=LIST_WAIT_SECONDS if incarnation.lists else 0.0,
+            until=None if until is None else until + incarnation.clock_ahead,
+            wait_seconds=LIST_WAIT_SECONDS if incarnation.lists_answered else 0.0,
         )
         if self._incarnation is not incarnation:
             return False
@@ -285,18 +301,23 @@
             incarnation.worker.fence = incarnation.born + int(
                 answer.worker_seconds * MILLISECONDS
             )
-            log.warning("Fence was stale", extra={"fence": incarnation.worker.fence})
+            log.warning(
+                "Fencing token was stale", extra={"fence": incarnation.worker.fence}
+            )
         elif isinstance(answer, OtherLife):
-            log.warning("Another life answers", extra={"worker": incarnation.instance})
-        elif answer is NoAnswer.REFUSED and incarnation.lists:
-            self._note_refused(incarnation)
+            log.warning(
+                "Another incarnation of the worker answers",
+                extra={"worker": incarnation.instance},
+            )
+        elif answer is NoAnswer.REFUSED and incarnation.lists_answered:
+            self._record_refusal(incarnation)
         return False
 
-    def _note_refused(self, incarnation: _WorkerIncarnation) -> None:
-        # This VM's own kernel refuses only where no process listens: what the worker
-        # ran is gone with it. For any other address a network in between may refuse
-        # while the worker runs on, and its tasks would start a second time elsewhere:
-        # there its leases must lapse first.
+    def _record_refusal(self, incarnation: _WorkerIncarnation) -> None:
+        # On this VM's own address the kernel refuses a connection only if no process
+        # listens, so the worker's runs have ended with it. For any other address, the
+        # network may refuse while the worker is still running. Its tasks would then
+        # start a second time elsewhere, so their leases must expire first.
         incarnation.refusals += 1
         if split_address(incarnation.address)[0] != self._own_host:
             return
@@ -304,9 +325,12 @@
             self._lose_runs(incarnation, "nobody listens at its port")
 
     def _lease_until(self, incarnation: _WorkerIncarnation, now: float) -> float | None:
-        if not incarnation.lists or now - incarnation.listed_at > WORKER_SILENT_SECONDS:
-            # A call without an answer may renew all the same: what runs at a silent
-            # worker would count as running for as long as the worker is silent.
+        if (
+            not incarnation.lists_answered
+            or now - incarnation.listed_at > WORKER_SILENT_SECONDS
+        ):
+            # A call that is not answered may still renew the leases, so the runs of a
+            # silent worker would count as running for as long as it is silent.
             return None
         until = min(
             now + self._lease, self._leader_contact_at() + RUN_CONTACT_LIMIT_SECONDS
@@ -320,8 +344,8 @@
         if answer.born and answer.born != incarnation.born:
             log.warning("Worker was born anew", extra={"worker": incarnation.instance})
             return False
-        incarnation.offset = answer.worker_seconds - now
-        changed = not incarnation.lists or (
+        incarnation.clock_ahead = answer.worker_seconds - now
+        changed = not incarnation.lists_answered or (
             [ended.number for ended in answer.ended]
             != [ended.number for ended in incarnation.ended]
         )
@@ -330,13 +354,13 @@
         incarnation.running = answer.running
         incarnation.ended = answer.ended
         incarnation.ends_whole = answer.ends_whole
-        incarnation.lists += 1
+        incarnation.lists_answered += 1
         incarnation.listed_at = now
         incarnation.runs_lost = False
         incarnation.refusals = 0
-        if incarnation.lists == 1:
-            lease_seconds = self._lease * CLOCK_DRIFT_FACTOR
-            incarnation.lease_until = max(incarnation.lease_until, now + lease_seconds)
+        if incarnation.lists_answered == 1:
+            max_lease = self._lease * CLOCK_DRIFT_FACTOR
+            incarnation.lease_until = max(incarnation.lease_until, now + max_lease)
         async with self._listed:
             self._listed.notify_all()
         if changed:
@@ -344,22 +368,22 @@
         return True
 
     def _lose_runs_after_lease(self, incarnation: _WorkerIncarnation) -> None:
-        # A worker that is cut off kills what it runs when the leases end. A start
-        # that still reaches it names a lease that has ended, and is refused.
+        # A worker that can't be reached kills its runs when their leases expire. A
+        # delayed start that still arrives has an expired lease, and is refused.
         now = self._clock()
-        if incarnation.runs_lost or not incarnation.lists:
+        if incarnation.runs_lost or not incarnation.lists_answered:
             return
-        lease_seconds = (
+        max_lease = (
             incarnation.lease_until - incarnation.listed_at
         ) * CLOCK_DRIFT_FACTOR + LEASE_EXPIRY_MARGIN_SECONDS
-        if now < incarnation.listed_at + lease_seconds:
+        if now < incarnation.listed_at + max_lease:
             return
         self._lose_runs(incarnation, "its leases have lapsed")
 
     def _lose_runs(self, incarnation: _WorkerIncarnation, why: str) -> None:
         incarnation.runs_lost = True
         incarnation.running = []
-        # Ends that had no place in its last list will not be told any more.
+        # Ends that its last list had no room for will never be listed.
         incarnation.ends_whole = True
         log.warning("Runs are lost", extra={"worker": incarnation.instance, "why": why})
         for task in self._work:
@@ -368,25 +392,26 @@
             self._refuse(key, Refusal.NEVER_RAN)
         self._on_change()
 
-    # ---- orders
-
     def start(self, start: Start) -> None:
-        """Take on a start; what becomes of it is reported."""
+        """Start a run in the background; reports contain its outcome."""
         if start.key in self.unsettled_by_run:
             return
         self.unsettled_by_run[start.key] = start
         self._spawn(self._start(start))
 
     def stop(self, key: RunKey) -> None:
-        """Stop a run, or keep it from starting."""
+        """Stop a run, or prevent it from starting."""
         self._spawn(self._stop(key))
 
     def pace(self, pace: Pace) -> None:
-        """Let a run work at a share of its processor time."""
+        """Limit a run to a share of its processor time."""
         self._spawn(self._pace(pace))
 
     def acknowledge(self, born: int, number: int) -> None:
-        """Let the worker forget its ends up to `number`."""
+        """Let the worker delete its ends up to `number`.
+
+        Parameters: `born` is the incarnation of the worker that the ends belong to.
+        """
         incarnation = self._incarnation
         if incarnation is not None and incarnation.born == born:
             incarnation.acknowledged = max(incarnation.acknowledged, number)
@@ -399,7 +424,7 @@
     def _refuse(self, key: RunKey, why: Refusal) -> None:
         self.unsettled_by_run.pop(key, None)
         self.refusal_by_run[key] = why
-        log.info("Did not start", extra={"run": str(key), "why": why.value})
+        log.info("Run did not start", extra={"run": str(key), "why": why.value})
         self._on_change()
 
     def _startable(self) -> bool:
@@ -415,7 +440,7 @@
         incarnation = self._incarnation
         if (
             incarnation is None
-            or not incarnation.lists
+            or not incarnation.lists_answered
             or incarnation.runs_lost
             or not self._startable()
         ):
@@ -428,7 +453,7 @@
             return
         incarnation.lease_until = max(incarnation.lease_until, until)
         outcome = await incarnation.worker.start(
-            start, until=until + incarnation.offset
+            start, until=until + incarnation.clock_ahead
         )
         if isinstance(outcome, Refusal):
             self._refuse(start.key, outcome)
@@ -437,14 +462,14 @@
         elif outcome is StartOutcome.STARTED:
             await self._wait_until_listed(incarnation, start.key)
         else:
-            log.info("Start without an answer", extra={"run": str(start.key)})
+            log.info("Start was not answered", extra={"run": str(start.key)})
             await self._resolve_unknown_start(incarnation, start.key)
 
     async def _wait_until_listed(
         self, incarnation: _WorkerIncarnation, key: RunKey
     ) -> bool:
-        """Wait for lists that surely show the run; tell whether they do."""
-        wanted = incarnation.lists + FRESH_LISTS
+        """Wait for a list that must contain the run; return whether it does."""
+        wanted = incarnation.lists_answered + FRESH_LISTS
         async with self._listed:
             await self._listed.wait_for(
                 lambda: (
@@ -458,14 +483,14 @@
     async def _resolve_unknown_start(
         self, incarnation: _WorkerIncarnation, key: RunKey
     ) -> None:
-        # The start may be carried out seconds later. A stop closes the run for good:
-        # the worker then refuses it, or ends it if it came first.
+        # The start may be carried out seconds later. After a stop, the worker refuses
+        # the run if it has not started yet, and ends it otherwise.
         async with self._listed:
             if _is_listed(incarnation, key):
                 self.unsettled_by_run.pop(key, None)
                 return
         await self._stop(key)
-        wanted = incarnation.lists + FRESH_LISTS
+        wanted = incarnation.lists_answered + FRESH_LISTS
         async with self._listed:
             await self._listed.wait_for(lambda: _is_list_complete(incarnation, wanted))
         if _is_listed(incarnation, key):
@@ -487,8 +512,9 @@
 
 
 def _is_list_complete(incarnation: _WorkerIncarnation, wanted: int) -> bool:
-    # A run whose end had no place in the list is not one that never ran.
-    return incarnation.lists >= wanted and incarnation.ends_whole
+    # A run may be missing because the list had no room for its end, which does not
+    # mean that it never ran.
+    return incarnation.lists_answered >= wanted and incarnation.ends_whole
 
 
 def _is_listed(incarnation: _WorkerIncarnation, key: RunKey) -> bool:
--- a/wagtailcleat/cluster/interference_store.py
+++ b/wagtailcleat/cluster/interference_store.py
@@ -1,6 +1,6 @@
-"""What the leader has learnt of images, kept in the store for the next leader.
+"""Keep the interference measured between images in the store for the next leader.
 
-It is advice only: a value that is lost, late or unreadable costs time to learn it anew.
+The values are hints: if they are lost, late or unreadable, they are measured again.
 """
 
 import asyncio
@@ -18,13 +18,13 @@
 
 RETRY_PAUSE_SECONDS = 0.5
 WRITE_INTERVAL_SECONDS = 4.0
-"""Pause between two writes: each is a priced call, and pairs are known in seconds."""
+"""Pause between writes: each call is charged, and pairs are measured in seconds."""
 
 
 async def persist_interference(
     interference: Interference, lease: LeaderLease, store: KeyValueStore
 ) -> None:
-    """Take over what earlier leaders learnt, then store what is learnt, for ever."""
+    """Restore the values of earlier leaders, then store changes until cancelled."""
     await _restore(interference, store)
     stored = interference.learnt()
     while True:
@@ -48,7 +48,9 @@
     try:
         learnt = decode(found.value, Learnt)
     except msgspec.MsgspecError:
-        log.warning("What was learnt is unreadable", extra={"bytes": len(found.value)})
+        log.warning(
+            "Stored interference is unreadable", extra={"bytes": len(found.value)}
+        )
         return
     interference.restore(learnt)
     log.info("Restored what was learnt", extra={"pairs": len(learnt.added)})
--- a/wagtailcleat/cluster/jobs.py
+++ b/wagtailcleat/cluster/jobs.py
@@ -1,4 +1,7 @@
-"""The jobs as the store holds them, taken into the leader's book."""
+"""Read jobs and cancellations from the store and add them to the leader's jobs.
+
+Used by `leader`, for the jobs of one epoch.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -38,7 +41,7 @@
 
 
 class Jobs:
-    """What one epoch's leader learns of jobs, from the store and by message."""
+    """Adds stored and submitted jobs to the scheduler of one epoch's leader."""
 
     def __init__(
         self,
@@ -51,7 +54,11 @@
         on_change: Callable[[], None],
         on_cancel: Callable[[], None],
     ) -> None:
-        """Wire it; `on_change` is called with each key, `on_cancel` as a job ends."""
+        """Create it without any job.
+
+        Parameters: `on_change` is called after each key that changes a job,
+        `on_cancel` after each cancellation.
+        """
         self._lease = lease
         self._scheduler = scheduler
         self._store = store
@@ -60,16 +67,16 @@
         self._on_change = on_change
         self._on_cancel = on_cancel
         self._revision = 0
-        """Of the store, up to which all is taken in."""
+        """Store revision up to which all changes have been applied."""
         self._absent_jobs: set[JobId] = set()
-        """Jobs that the store does not have, although runs of them were listed."""
+        """Jobs that are not in the store although agents have reported runs of them."""
 
     def __repr__(self) -> str:
-        """Show up to where the store is known."""
+        """Show the store revision that has been applied."""
         return f"<Jobs up to revision {self._revision}>"
 
     async def restore(self) -> None:
-        """Take in all jobs and what is stored of their progress."""
+        """Read all jobs, their progress records and their cancellations."""
         jobs = await list_until_answered(self._store, JOB_PREFIX, self._clock)
         records = await list_until_answered(self._store, RECORD_PREFIX, self._clock)
         self._revision = jobs.store_revision
@@ -85,7 +92,11 @@
     def add(
         self, job: JobId, data: bytes, revision: int, record: Found | None = None
     ) -> JobEntry:
-        """Add a job that the store got at `revision`; 0 where that is not known."""
+        """Return the entry of a job, and add it first if it is new.
+
+        Parameters: `data` is the stored job; `revision` is the store revision that
+        wrote it, 0 if not known; `record` is its stored progress, if there is any.
+        """
         entry = self._scheduler.book.entry_by_id.get(job)
         if entry is None:
             entry = self._scheduler.book.add(
@@ -95,7 +106,7 @@
                 record=decode(record.value, JobRecord) if record else None,
                 store_revision=record.mod_revision if record else 0,
             )
-            # An earlier leader may have started it at an agent not heard of yet.
+            # An earlier leader may have started it at an agent that has not reported.
             entry.settled = not self._scheduler.unheard
         alone_from = self._lease.predecessors_expired_revision
         if alone_from is not None and revision > alone_from:
@@ -103,19 +114,20 @@
         return entry
 
     async def load_reported_jobs(self, report: Report) -> bool:
-        """Learn of the jobs whose runs a report names; False if one is in doubt.
+        """Add the jobs whose runs a report names; return False if the store fails.
 
-        A leader before may have started a job that this one's watch has not told of
-        yet. Its runs would be stopped, and its ends acknowledged, as if of a job that
-        is gone: a task that has succeeded would run again, one that runs run twice.
+        An earlier leader may have started a job that the watch has not delivered yet.
+        If that job were taken for a deleted one, its runs would be stopped and its ends
+        acknowledged: a task that has succeeded would run again, and one that is running
+        would run twice.
         """
         keys = [running.key for running in report.running]
         keys += [ended.key for ended in report.ended] + report.unsettled
-        load_reported_jobs = self._scheduler.book.entry_by_id
+        entry_by_id = self._scheduler.book.entry_by_id
         for job in {key.task.job for key in keys}:
-            if job in load_reported_jobs or job in self._absent_jobs:
+            if job in entry_by_id or job in self._absent_jobs:
                 continue
-            # It was stored before it was started, so that the store has it by now.
+            # A job is stored before it is started, so the store has it by now.
             found = await self._store.get(job_key(job))
             if isinstance(found, Unavailable):
                 return False
@@ -126,7 +138,7 @@
         return True
 
     async def watch(self) -> None:
-        """Take in what is stored, for ever."""
+        """Apply changes of stored jobs until cancelled."""
         while True:
             changes = await self._store.changes(
                 JOB_PREFIX, self._revision, wait_seconds=JOBS_WATCH_SECONDS
@@ -149,9 +161,9 @@
     def _apply_key(self, key: str, value: bytes, revision: int) -> None:
         if not key.endswith(CANCELLED):
             job = JobId(key.removeprefix(JOB_PREFIX))
-            load_reported_jobs = self._scheduler.book.entry_by_id.get(job)
-            settled = load_reported_jobs is not None and load_reported_jobs.settled
-            if self.add(job, value, revision) is load_reported_jobs and settled:
+            known = self._scheduler.book.entry_by_id.get(job)
+            settled = known is not None and known.settled
+            if self.add(job, value, revision) is known and settled:
                 return
         else:
             job = JobId(key.removeprefix(JOB_PREFIX).removesuffix(CANCELLED))
@@ -163,7 +175,7 @@
 async def list_until_answered(
     store: KeyValueStore, prefix: str, clock: Clock
 ) -> Listing:
-    """Return all keys under a prefix, once the store answers."""
+    """Return all keys under a prefix; repeat the call until the store answers."""
     started_at = clock()
     for tries in count(1):
         listing = await store.list(prefix)
@@ -175,8 +187,11 @@
         if isinstance(listing, Listing):
             size = sum(len(found.value) for found in listing.found)
             fields |= {"keys": len(listing.found), "bytes": size}
-            log.info("Listed", extra=fields)
+            log.info("Listed keys", extra=fields)
             return listing
-        log.warning("Not listed yet", extra=fields | {"why": listing.reason})
+        log.warning(
+            "Store did not list the keys; retrying",
+            extra=fields | {"why": listing.reason},
+        )
         await asyncio.sleep(RETRY_PAUSE_SECONDS)
-    raise AssertionError("counting has ended")
+    raise AssertionError("unreachable: the counter has no end")
--- a/wagtailcleat/cluster/leader.py
+++ b/wagtailcleat/cluster/leader.py
@@ -1,4 +1,7 @@
-"""The leader at work: jobs from the store and reports in, orders and records out."""
+"""The leader's work: read jobs and reports, place tasks, send orders, write records.
+
+`entry_app` creates one `Leader` for each epoch that its entry claims.
+"""
 
 import asyncio
 import math
@@ -48,29 +51,38 @@
 log = part_logger("leader")
 
 MIN_ROUND_INTERVAL_SECONDS = 0.01
-"""Shortest time between two rounds: several reports are weighed together."""
+"""Shortest time between two rounds, so that one round considers several reports."""
 PLACING_LIMIT_SECONDS = 0.05
-"""How long one round places work: reports and pings wait for it to end, and the peers
-of a slow VM would take its silence for a lost connection."""
+"""How long one round places work at most.
+
+Reports and pings wait until the round ends, and the peers of a slow VM would take its
+silence for a lost connection.
+"""
 LINK_SHARE_OF_STARTS = 0.5
-"""Share of the link's rate; the rest is for pings, answers, callers and the store."""
+"""Share of the link's rate for starts.
+
+The rest is for pings, answers, callers and the store.
+"""
 HELD_STARTS_RETRY_SECONDS = 0.02
-"""Pause before starts that were held back are looked at again."""
+"""Pause before starts that the link's rate has delayed are tried again."""
 MAX_ROUND_INTERVAL_SECONDS = 0.25
-"""Longest time between two rounds: jobs become due and leases lapse unannounced."""
+"""Longest time between two rounds: no event tells of due jobs or expired leases."""
 RETRY_PAUSE_SECONDS = 0.2
 """Pause after a call to the store that failed."""
 ORDERS_TIMEOUT_SECONDS = 0.8
 ADVICE_POLL_SECONDS = 0.05
-"""Pause before looking again whether a step waits for advice."""
+"""Pause before checking again whether a step waits for advice."""
 ENTRIES_INTERVAL_SECONDS = 5.0
-"""How often a leader looks after the other entries."""
+"""How often a leader announces itself and checks the other entries."""
 ENTRIES_RESTORING_INTERVAL_SECONDS = 0.5
-"""How often it does while its book is restored."""
+"""The same while it is restoring jobs."""
 
 
 class Leader:
-    """One epoch's work; a new one is made for each."""
+    """A leader of one epoch: its scheduler, jobs, records and connected agents.
+
+    `ready` is set once the stored jobs have been read.
+    """
 
     def __init__(
         self,
@@ -86,7 +98,12 @@
         advice: AdviceService | None = None,
         link_bytes_per_second: float = math.inf,
     ) -> None:
-        """Wire it; `status_kept` in seconds."""
+        """Create a leader that has not read the stored jobs yet.
+
+        Parameters: `status_kept` is how long the state of an ended job is kept, in
+        seconds; `zones_out` returns the zones that operators have taken out; `advice`
+        is asked which workers may run a step, if it is given.
+        """
         self._advice = advice
         self._zones_out = zones_out
         self.lease = lease
@@ -127,7 +144,7 @@
         self._sending: set[asyncio.Task[None]] = set()
 
     def __repr__(self) -> str:
-        """Show the epoch and the scheduler's book."""
+        """Show the epoch and the scheduler's jobs."""
         return f"<Leader epoch {self.lease.epoch}: {self.scheduler.book}>"
 
     @property
@@ -140,9 +157,9 @@
         return self.ready and self.lease.valid_for(self._now) > 0
 
     async def run(self) -> None:
-        """Restore the book, then lead until cancelled."""
+        """Restore the stored jobs, then lead until cancelled."""
         supervisor = Supervisor(f"epoch-{self.lease.epoch}")
-        # Restoring takes long behind a slow link; a larger entry may lead meanwhile.
+        # Restoring takes long over a slow link; a larger entry may take over meanwhile.
         supervisor.spawn("entries", self._maintain_entries)
         try:
             await self._restore()
@@ -158,11 +175,9 @@
             for task in self._sending:
                 task.cancel()
 
-    # ---- restoring
-
     async def _restore(self) -> None:
         started_at = self._now
-        log.info("Restores the book", extra={"epoch": self.lease.epoch})
+        log.info("Restoring the jobs", extra={"epoch": self.lease.epoch})
         agents = await list_until_answered(self._store, AGENT_PREFIX, self._clock)
         for found in agents.found:
             node = NodeId(found.key.removeprefix(AGENT_PREFIX))
@@ -181,41 +196,44 @@
         self._announce([decode(found.value, ProcessInfo) for found in agents.found])
 
     def _announce(self, agent_infos: list[ProcessInfo]) -> None:
-        for place in agent_infos:
-            self._spawn(self._send_leader(place))
+        for agent in agent_infos:
+            self._spawn(self._send_leader(agent))
 
-    async def _send_leader(self, place: ProcessInfo) -> None:
+    async def _send_leader(self, agent: ProcessInfo) -> None:
         await self._peers.call(
-            place.host,
-            place.port,
+            agent.host,
+            agent.port,
             self._leadership.leader,
             timeout=ORDERS_TIMEOUT_SECONDS,
         )
 
-    # ---- what callers and agents say
-
     async def submitted(self, message: Submitted) -> AnyMessage:
-        """Take in a job that an entry has just stored."""
+        """Add a job that an entry has just stored."""
         if not self.ready:
-            # An earlier leader may have stored progress of it already, and the lists
-            # with both are on their way: entered without its record, the job would
-            # begin anew. The lists or the watch after them bring it.
+            # An earlier leader may already have stored the job's progress. The lists
+            # of jobs and records are still being read, and the job would start from
+            # the beginning if it were added without its record. The lists, or the
+            # watch that follows them, add it.
             return Refused(Code.RESTORING.value, "the leader is still restoring")
         self._jobs.add(message.id, message.job, 0)
         self._wake.set()
         return StateShown("")
 
     def state(self, message: ShowState) -> StateShown:
-        """Show how a job stands."""
+        """Return a job's durable state, or an empty one if the job is not known."""
         entry = self.scheduler.book.entry_by_id.get(message.id)
         return StateShown(entry.durable_state.value if entry else "")
 
     def waiting(self, message: CountWaiting) -> Waiting:
-        """Count a queue's jobs that have not begun."""
+        """Return the number of a queue's jobs that have not begun."""
         return Waiting(self.scheduler.book.waiting(message.queue))
 
     async def cancel(self, message: CancelSteps, timeout: float) -> StateShown:
-        """Cancel a job; the answer is empty unless that is stored in `timeout`."""
+        """Cancel a job and return its state.
+
+        The state is empty if the job is not known, or if the cancellation could not be
+        stored within `timeout` seconds.
+        """
         entry = self.scheduler.cancel(
             message.id, now=self._now, wall_now=self._wall_clock()
         )
@@ -230,18 +248,19 @@
     async def report(
         self, stream: Stream, message: AnyMessage, outlet: Outlet
     ) -> AnyMessage:
-        """Take in an agent's report; the answer lets it act for a while."""
+        """Handle an agent's report; the answer says for how long the agent may act."""
         assert isinstance(message, Report)
         if not self.ready and self.lease.valid_for(self._now) > 0:
             return Refused(Code.RESTORING.value, "the leader is still restoring")
         if not self.acting:
-            # Another leader may have replaced this one, so agents must look who leads.
-            # Runs go on for as long after an answer as a next leader waits after the
-            # last moment at which this one may act.
+            # Another leader may have replaced this one, so agents must search for the
+            # leader. After an answer, runs continue for as long as the next leader
+            # waits after the last moment at which this one may act.
             return Refused(Code.UNAVAILABLE.value, "this leader may not act now")
         if message.epoch != self.lease.epoch:
-            # It may still take an order of the leader before: one that is on its way
-            # would start what this report does not list, and it would start elsewhere.
+            # The agent may still accept an order of the previous leader. A delayed
+            # order would start a run that this report does not list, and the same task
+            # would be started elsewhere.
             return FollowFirst(self.lease.epoch)
         if not await self._jobs.load_reported_jobs(message):
             return Refused(Code.UNAVAILABLE.value, "the store is asked for a job")
@@ -265,8 +284,6 @@
             log.info("Agent in touch", extra={"agent": node})
         return self._session_by_stream[id(stream)]
 
-    # ---- rounds
-
     async def _rounds(self) -> None:
         while True:
             try:
@@ -287,9 +304,9 @@
                 self.scheduler.lost_touch(node)
                 log.info("Agent out of touch", extra={"agent": node})
                 self._records.dirty.set()
-        # Judged as of the last renewal: a next leader may have claimed since, and an
-        # agent that went over to it has its runs renewed, although this leader, which
-        # may still act, hears of it no more.
+        # Agents expire as of the last renewal. Another leader may have claimed since,
+        # and the runs of an agent that follows it continue, although this leader, which
+        # may still act, no longer gets the agent's reports.
         confirmed_at = min(now, self.lease.renewed_at)
         for node in self.scheduler.expire(
             now=confirmed_at, predecessors_until=self.lease.predecessors_until
@@ -333,8 +350,9 @@
     async def _send(self, stream: Stream, orders: Orders) -> None:
         answer = await stream.call(orders, timeout=ORDERS_TIMEOUT_SECONDS)
         if isinstance(answer, Lost):
-            # Whether it was taken shows in the agent's next report; a new
-            # connection tells the two apart from what is still under way.
+            # The agent's next report shows whether the orders were accepted. It comes
+            # on a new connection, which distinguishes it from reports that were already
+            # on their way.
             stream.close("orders were not answered")
             self._wake.set()
 
@@ -359,14 +377,16 @@
                 continue
             granted = await service.ask(question)
             if granted is None:
-                log.warning("No advice", extra={"job": question.job})
+                log.warning(
+                    "Advice service did not answer", extra={"job": question.job}
+                )
                 await asyncio.sleep(RETRY_PAUSE_SECONDS)
                 continue
             until = self._now + granted.valid_seconds
             scheduler.advice.take(question, granted.ticket_by_worker, until=until)
             scheduler.advice.forget_ended(scheduler.book)
             log.info(
-                "Advised",
+                "Advice received",
                 extra={
                     "job": question.job,
                     "step": question.step[1],
@@ -376,8 +396,6 @@
             )
             self._wake.set()
 
-    # ---- the store
-
     async def _persist_interference(self) -> None:
         interference = self.scheduler.sharing.interference
         await persist_interference(interference, self.lease, self._store)
--- a/wagtailcleat/cluster/leadership.py
+++ b/wagtailcleat/cluster/leadership.py
@@ -327,10 +327,10 @@
             return await self._claim(ClaimReason.OWN)
         if last_read.leader.epoch != asked_epoch:
             result = _ProbeResult.SILENT
-        self._note_refusal(result)
+        self._record_refusal(result)
         return await self._replace(result)
 
-    def _note_refusal(self, result: _ProbeResult) -> None:
+    def _record_refusal(self, result: _ProbeResult) -> None:
         if result is not _ProbeResult.REFUSED:
             self._refused_heartbeat_revision = None
         elif self._refused_heartbeat_revision is None:
--- a/wagtailcleat/cluster/metrics.py
+++ b/wagtailcleat/cluster/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and latencies of an entry's callers, and of the scheduler that leads."""
+"""Metrics of an entry: calls of its callers, and the scheduler while it leads."""
 
 from collections import Counter
 from collections.abc import Callable, Mapping
@@ -12,11 +12,11 @@
 MAX_LATENCY_MICROSECONDS = 60_000_000
 MICROSECONDS = 1_000_000
 SIGNIFICANT_DIGITS = 2
-"""Significant digits kept of a latency: one percent tells what an on-call needs."""
+"""Significant digits of a latency; a precision of one percent is enough on call."""
 
 
 class CallerMetrics:
-    """How callers were served; labels are methods and status codes only."""
+    """Counts and latencies of callers' requests, by method and status code only."""
 
     def __init__(self) -> None:
         """Start at zero."""
@@ -33,7 +33,7 @@
         histogram.record_value(int(seconds * MICROSECONDS) + 1)
 
     def register(self, introspection: Introspection) -> None:
-        """Show the counts and latencies among the metrics."""
+        """Register the counts and latencies as metrics."""
         introspection.labelled(
             Kind.COUNTER,
             "submission_calls",
@@ -52,7 +52,7 @@
 def register_scheduler_metrics(
     introspection: Introspection, scheduler: Callable[[], Scheduler | None]
 ) -> None:
-    """Show what the leader decides; an entry that follows shows nothing."""
+    """Register metrics of the leader's scheduler; they are empty on a follower."""
 
     def events() -> dict[str, float]:
         leading = scheduler()
--- a/wagtailcleat/cluster/operator_watch.py
+++ b/wagtailcleat/cluster/operator_watch.py
@@ -1,4 +1,7 @@
-"""Follows what operators wrote into the store: the queues, and zones taken out."""
+"""Watch what operators write to the store: the queues, and the zones taken out.
+
+Entries watch both; agents watch the zones only.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -21,11 +24,11 @@
 log = part_logger("operators")
 
 RETRY_PAUSE_SECONDS = 0.2
-"""Pause after a call that failed; a change must be in force within 2 s."""
+"""Pause after a failed call; changes must take effect within 2 s."""
 
 
 class OperatorWatch:
-    """What operators want, as far as this process knows."""
+    """The operators' configuration and zones taken out, as last read or watched."""
 
     def __init__(
         self,
@@ -35,16 +38,16 @@
         zones_only: bool = False,
         on_change: Callable[[], None] = lambda: None,
     ) -> None:
-        """Watch `store`; `on_change` is called after each change.
+        """Create a watch on `store`; `on_change` is called after each change.
 
-        Parameters: `wait_seconds` bounds one watch, and so how long a silent
-        connection goes unnoticed.
+        Parameters: `wait_seconds` limits one call of the watch, and so how long a
+        silent connection goes unnoticed.
         """
         self.queues: QueueTable | None = None
         self.zones_out: frozenset[ZoneName] = frozenset()
         self.known = False
         self.heard_at = 0.0
-        """When the store last told, on this VM's clock."""
+        """When the store last answered, on this VM's clock."""
         self._store = store
         self._wait_seconds = wait_seconds
         self._prefix = ZONE_OUT_PREFIX if zones_only else OPERATOR_PREFIX
@@ -56,7 +59,7 @@
         return f"<OperatorWatch {self.queues}, out: {sorted(self.zones_out)}>"
 
     async def run(self) -> None:
-        """List, then watch, for ever."""
+        """List, then watch, until cancelled."""
         while True:
             if not self.known and not await self._list():
                 await asyncio.sleep(RETRY_PAUSE_SECONDS)
@@ -74,7 +77,7 @@
             elif isinstance(changes, HistoryGone):
                 self.known = False
             elif not await self._list():
-                # A cut watch may have missed nothing, but a list is sure.
+                # An interrupted watch may have missed nothing; a list makes sure.
                 await asyncio.sleep(RETRY_PAUSE_SECONDS)
 
     async def _list(self) -> bool:
@@ -103,16 +106,18 @@
 
     def _set_zones(self, zones: frozenset[ZoneName]) -> None:
         if zones != self.zones_out:
-            log.info("Zones out", extra={"zones": sorted(zones)})
+            log.info("Zones taken out", extra={"zones": sorted(zones)})
         self.zones_out = zones
 
     def _take_configuration(self, value: bytes) -> None:
         try:
             table = decode_configuration(value)
         except BodyError as error:
-            log.error("Unreadable configuration", extra={"why": error.message})
+            log.error(
+                "Stored configuration is unreadable", extra={"why": error.message}
+            )
             return
-        # A late answer may show an older version; what is in force never reverts.
+        # A delayed answer may have an older version; the version never decreases.
         if self.queues is None or table.version > self.queues.version:
             self.queues = table
-            log.info("In force", extra={"version": table.version})
+            log.info("Configuration in force", extra={"version": table.version})
--- a/wagtailcleat/cluster/program.py
+++ b/wagtailcleat/cluster/program.py
@@ -1,4 +1,7 @@
-"""What both programs share: settings, identity, streams, store, metrics, signals."""
+"""Parts that both programs share: settings, identity, streams, store, metrics, signals.
+
+`entry_app` and `agent_app` call `make_common_parts`, `serve_metrics` and `main`.
+"""
 
 import asyncio
 import os
@@ -13,7 +16,7 @@
 from tornado.web import Application, RequestHandler
 
 from wagtailcleat.clock import boot_time, wall_time
-from wagtailcleat.cluster.settings import Shared, load
+from wagtailcleat.cluster.settings import CommonSettings, load
 from wagtailcleat.cluster.timing import STORE_CALL_SECONDS
 from wagtailcleat.errors import SettingsError
 from wagtailcleat.ids import NodeId
@@ -38,19 +41,19 @@
 log = part_logger("process")
 
 STREAM_TIMING = StreamTiming(ping=0.25, silence=0.75, idle_close=20.0, connect=0.6)
-"""A silent stream is noticed within a second; round trips take milliseconds."""
+"""Seconds; a silent stream is noticed within one, and round trips take milliseconds."""
 SETTINGS_POLL_SECONDS = 5.0
-"""How often the settings file is looked at for a change without a signal."""
+"""How often the settings file is checked for a change without a signal."""
 SETTINGS_VARIABLE = "WAGTAILCLEAT_BOOT"
-"""Names the settings file where the command line does not."""
+"""Environment variable with the settings file if the command line has none."""
 USAGE = f"usage: PROGRAM SETTINGS.json, or {SETTINGS_VARIABLE} names the file"
 
-S = TypeVar("S", bound=Shared)
+S = TypeVar("S", bound=CommonSettings)
 
 
 @dataclass(frozen=True)
-class Base:
-    """The parts that every program is made of, bound but not running."""
+class CommonParts:
+    """Parts that every program has, with its port bound but nothing running yet."""
 
     identity: Identity
     introspection: Introspection
@@ -69,19 +72,19 @@
 
 
 class Program(Protocol):
-    """A program as its runner sees it."""
+    """What `main` needs of a program."""
 
-    base: Base
+    common: CommonParts
 
     def start(self) -> None:
         """Serve."""
 
     async def stop(self) -> None:
-        """Finish what is in flight, then end."""
+        """Finish requests in progress, then end."""
 
 
-def make_base(settings: Shared, role: Role) -> Base:
-    """Wire the parts that every program has, and bind the peer port."""
+def make_common_parts(settings: CommonSettings, role: Role) -> CommonParts:
+    """Create the parts that every program has, and bind the peer port."""
     node = NodeId(settings.node)
     identity = Identity(node, role, make_incarnation(wall_time()), settings.secret)
     introspection = Introspection()
@@ -92,7 +95,7 @@
     store = KeyValueStore(
         settings.store, clock=boot_time, call_seconds=STORE_CALL_SECONDS
     )
-    base = Base(
+    common = CommonParts(
         identity,
         introspection,
         dispatch,
@@ -101,43 +104,43 @@
         store,
         Supervisor(settings.node),
     )
-    _add_metrics(base)
-    return base
+    _add_metrics(common)
+    return common
 
 
-def _add_metrics(base: Base) -> None:
-    add, metric = base.introspection.add, base.introspection.metric
-    add("node", lambda: base.identity.node)
-    add("incarnation", lambda: base.identity.incarnation)
-    add("supervisor", base.supervisor.dump)
-    base.introspection.labelled(
+def _add_metrics(common: CommonParts) -> None:
+    add, metric = common.introspection.add, common.introspection.metric
+    add("node", lambda: common.identity.node)
+    add("incarnation", lambda: common.identity.incarnation)
+    add("supervisor", common.supervisor.dump)
+    common.introspection.labelled(
         Kind.COUNTER,
         "store_calls",
         "Calls to the platform's store, by kind.",
         "kind",
         lambda: {
-            "read": base.store.counts.reads,
-            "write": base.store.counts.writes,
-            "watch": base.store.counts.watches,
+            "read": common.store.counts.reads,
+            "write": common.store.counts.writes,
+            "watch": common.store.counts.watches,
         },
     )
     metric(
         Kind.COUNTER,
         "store_failures",
         "Calls to the platform's store that were not served.",
-        lambda: base.store.counts.failed,
+        lambda: common.store.counts.failed,
     )
     metric(
         Kind.GAUGE,
         "store_up",
         "1 while the platform's store answers.",
-        lambda: base.store.down_since is None,
+        lambda: common.store.down_since is None,
     )
     metric(
         Kind.COUNTER,
         "child_restarts",
         "Restarts of crashed parts of this process.",
-        base.supervisor.restarts,
+        common.supervisor.restarts,
     )
     metric(
         Kind.COUNTER,
@@ -165,9 +168,9 @@
         self.finish(self._introspection.text())
 
 
-def serve_metrics(base: Base, settings: Shared) -> HTTPServer:
+def serve_metrics(common: CommonParts, settings: CommonSettings) -> HTTPServer:
     """Serve metrics and the state dump on the metrics port."""
-    parts = {"introspection": base.introspection}
+    parts = {"introspection": common.introspection}
     application = Application(
         [
             (r"/metrics", _MetricsHandler, parts),
@@ -181,7 +184,11 @@
 
 
 def main(kind: type[S], make: Callable[[S], Program]) -> int:
-    """Run the program that `make` wires from the settings file on the command line."""
+    """Run a program until it is told to stop, and return the exit code.
+
+    The settings file is named on the command line or by the environment variable
+    `SETTINGS_VARIABLE`; `make` creates the program from the settings.
+    """
     named = sys.argv[1] if len(sys.argv) == 2 else os.environ.get(SETTINGS_VARIABLE)
     if not named:
         print(USAGE, file=sys.stderr)
@@ -201,13 +208,13 @@
     program = make(settings)
     program.start()
     reload = _Reload(path, settings, kind)
-    program.base.supervisor.spawn("settings", reload.run)
-    program.base.supervisor.spawn("store", program.base.store.keep_looking)
-    dump_on_signal(program.base.introspection)
+    program.common.supervisor.spawn("settings", reload.run)
+    program.common.supervisor.spawn("store", program.common.store.keep_looking)
+    dump_on_signal(program.common.introspection)
     log.info(
         "Started",
         extra={
-            "incarnation": program.base.identity.incarnation,
+            "incarnation": program.common.identity.incarnation,
             "peer_port": settings.peer_port,
         },
     )
@@ -223,14 +230,16 @@
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, requested.set)
-    program.base.supervisor.broken.add_done_callback(lambda _: requested.set())
+    program.common.supervisor.broken.add_done_callback(lambda _: requested.set())
     await requested.wait()
 
 
 class _Reload:
-    """Takes up changed settings: those of the log at once, the rest at a restart."""
+    """Reloads changed settings: the log level at once, the rest at the next restart."""
 
-    def __init__(self, path: Path, settings: Shared, kind: type[Shared]) -> None:
+    def __init__(
+        self, path: Path, settings: CommonSettings, kind: type[CommonSettings]
+    ) -> None:
         self._path = path
         self._settings = settings
         self._kind = kind
@@ -264,7 +273,7 @@
         try:
             settings = load(self._path, self._kind)
         except SettingsError as error:
-            log.error("Settings not taken up", extra={"why": error.message})
+            log.error("Settings not reloaded", extra={"why": error.message})
             return
         changed = [
             name
@@ -273,4 +282,4 @@
         ]
         self._settings = settings
         start_bounded_logging(NodeId(settings.node), level=settings.log_level)
-        log.info("Settings read again", extra={"changed": changed})
+        log.info("Settings reloaded", extra={"changed": changed})
--- a/wagtailcleat/cluster/records.py
+++ b/wagtailcleat/cluster/records.py
@@ -1,4 +1,7 @@
-"""What the leader stores: the progress of jobs, and which agents may run tasks."""
+"""Write the progress of jobs, and the agents that may run tasks, to the store.
+
+Used by `leader`, for one epoch.
+"""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -23,32 +26,39 @@
 from wagtailcleat.storage import Compare, Conflict, Txn, WriteOutcome, Written
 
 COMMIT_INTERVAL_SECONDS = 0.03
-"""Pause between two writes of records, which gathers the ends of that time.
+"""Pause between two writes of records, so that one write has all ends of that time.
 
-A write costs the same for one record as for thirty, and calls are priced.
+A write costs the same for one record as for thirty, and calls are charged.
 """
 RETRY_PAUSE_SECONDS = 0.2
 """Pause after a write that failed."""
 RECORDS_PER_WRITE = (MAX_TXN_ENTRIES - 1) // 3
-"""Each record is a compare and a put, and the job is a put where it has ended; one
-compare more is the leader's own key."""
+"""Each record takes a compare and a put, and a put of the job if it has ended.
+
+One more compare is for the leader key.
+"""
 SPEC_KEPT_BYTES = 100
-"""A spec up to this size is not worth a put of its own when its job has ended."""
+"""A spec up to this size is not worth a put to remove it when its job has ended."""
 BYTES_PER_WRITE = 128 * 1024
-"""Records of one write in all, but for one that is larger by itself.
+"""Size limit of the records in one write; a larger record is written alone.
 
-A write that takes longer than a call may is repeated whole, and may never be answered.
+A write that exceeds the time limit of a call is repeated whole, and may never be
+answered.
 """
 JOBS_PER_DELETE = (MAX_TXN_ENTRIES - 1) // 3
 """Each job has up to three keys."""
 AGENTS_PER_WRITE = (MAX_TXN_ENTRIES - 1) // 2
-"""Each agent is a compare, and a put or a delete; one compare is the leader's own."""
+"""Each agent takes a compare and a put or delete; one compare is for the leader key."""
 EXPIRY_MARGIN_SECONDS = 30.0
-"""How much longer than promised the state of an ended job is kept."""
+"""How much longer than `status_kept` the state of an ended job is kept."""
 
 
 class Records:
-    """The records of one epoch; each write holds only while its leader leads."""
+    """Writes records for one epoch's leader.
+
+    Each write is conditional on the leader key, so it fails once another leader has
+    claimed.
+    """
 
     def __init__(
         self,
@@ -60,17 +70,18 @@
         status_kept: float,
         on_progress: Callable[[], None],
     ) -> None:
-        """Wire it.
+        """Create it with nothing to write.
 
-        Parameters: `status_kept` in seconds; `on_progress` is called when ends may
-        be acknowledged, or agents given work.
+        Parameters: `status_kept` is how long the state of an ended job is kept, in
+        seconds; `on_progress` is called when ends may be acknowledged, or agents may
+        be given work.
         """
         self.dirty = asyncio.Event()
         """Set when there may be something to write."""
         self.registered: set[NodeId] = set()
-        """Agents that the store names."""
+        """Agents that are registered in the store."""
         self._revision_by_agent: dict[NodeId, int] = {}
-        """Of each agent's key as last heard of; 0 or none: there is no such key."""
+        """Last known revision of each agent's key; 0 or absent: there is no key."""
         self._lease = lease
         self._scheduler = scheduler
         self._store = store
@@ -79,19 +90,22 @@
         self._on_progress = on_progress
         self._committed = asyncio.Condition()
         self._failures_by_job: dict[JobId, int] = {}
-        """How often the write of a record has failed since one was answered."""
+        """Failed writes of each job's record, less those that all records share."""
 
     def __repr__(self) -> str:
         """Show how many records are to be written."""
         return f"<Records: {len(self._changed())} to write>"
 
     def restore_agent(self, node: NodeId, store_revision: int) -> None:
-        """Note that the store names an agent."""
+        """Add an agent that is already registered, at the revision of its key."""
         self.registered.add(node)
         self._revision_by_agent[node] = store_revision
 
     async def wait_until_stored(self, entry: JobEntry, timeout: float) -> bool:
-        """Wait until a job's present progress is stored; False after `timeout`."""
+        """Wait until a job's progress is stored; return False after `timeout` seconds.
+
+        Progress that is made later is not waited for.
+        """
         version = entry.version
         try:
             async with asyncio.timeout(timeout), self._committed:
@@ -101,7 +115,7 @@
         return True
 
     async def run(self) -> None:
-        """Write what changes, for ever."""
+        """Write changes until cancelled."""
         while True:
             await self.dirty.wait()
             self.dirty.clear()
@@ -110,7 +124,7 @@
             await self._deregister_agents()
             while changed := self._changed():
                 if not await self._write_records(self._next_batch(changed)):
-                    # Agents are registered and struck all the same.
+                    # The next iteration registers and deregisters agents even so.
                     self.dirty.set()
                     await asyncio.sleep(RETRY_PAUSE_SECONDS)
                     break
@@ -121,8 +135,10 @@
         return [entry for entry in entries if entry.version > entry.committed]
 
     def _next_batch(self, changed: list[JobEntry]) -> list[JobEntry]:
-        """Return those that have failed least, fewer at once the more they failed."""
-        # A record that the store does not take must not hold up the others.
+        """Return the jobs with the fewest failures; each failure halves their number.
+
+        A record that the store does not accept must not delay the others.
+        """
         failures = self._failures_by_job
         fewest = min(failures.get(entry.job.id, 0) for entry in changed)
         following = [e for e in changed if failures.get(e.job.id, 0) == fewest]
@@ -137,8 +153,8 @@
                 failures.pop(entry.job.id, None)
 
     def _discount_shared_failures(self) -> None:
-        # What all records have failed alike was the store's fault, not theirs: after an
-        # outage they go out in full writes again.
+        # Failures that all records share were an outage of the store and not caused by
+        # a record: after an outage, writes have their full size again.
         failures = self._failures_by_job
         jobs = [entry.job.id for entry in self._changed()]
         fewest = min((failures.get(job, 0) for job in jobs), default=0)
@@ -163,7 +179,7 @@
             outcome = await self._store.write(
                 Txn(self._agents_unchanged(nodes), places)
             )
-            self._note_agents(nodes, outcome, registered=True)
+            self._update_agent_revisions(nodes, outcome, registered=True)
             if isinstance(outcome, Written):
                 self.registered.update(nodes)
         for vm in vms:
@@ -174,39 +190,40 @@
             self.dirty.set()
 
     async def _deregister_agents(self) -> None:
-        # A next leader waits for each agent that the store names before it starts
-        # work that was under way: one that is gone would hold all of it up.
+        # A new leader waits for each registered agent before it starts work again that
+        # was running: an agent that is gone would delay all of it.
         idle = {vm.node for vm in self._scheduler.idle_absent()}
-        # What the store may still name counts, not what was last asked of it: a strike
-        # that was not carried out must be tried again.
+        # The agents that may still be registered count, not those that were last sent
+        # to the store: a delete that was not carried out must be tried again.
         registered = [node for node, at in self._revision_by_agent.items() if at]
-        gone = [
+        departed = [
             node
             for node in registered
             if node in idle or node not in self._scheduler.vm_by_node
         ]
-        gone = [node for node in gone if node not in self._scheduler.unheard]
-        if not gone:
+        departed = [node for node in departed if node not in self._scheduler.unheard]
+        if not departed:
             return
-        batch = gone[:AGENTS_PER_WRITE]
+        batch = departed[:AGENTS_PER_WRITE]
         deletes = [agent_key(node) for node in batch]
         for node in batch:
-            # From here on no start goes there until the store names it again.
+            # From now on the agent gets no starts until it is registered again.
             self.registered.discard(node)
             if node in self._scheduler.vm_by_node:
                 self._scheduler.vm_by_node[node].registered = False
         outcome = await self._store.write(
             Txn(self._agents_unchanged(batch), deletes=deletes)
         )
-        self._note_agents(batch, outcome, registered=False)
+        self._update_agent_revisions(batch, outcome, registered=False)
         if not isinstance(outcome, Written):
             self.dirty.set()
             await asyncio.sleep(RETRY_PAUSE_SECONDS)
 
     def _agents_unchanged(self, nodes: list[NodeId]) -> list[Compare]:
-        # A delete without an answer may be carried out seconds later, when the agent is
-        # back, is named again and has work: the next leader would not wait for it, and
-        # would start the same work elsewhere. It must find the key as it was.
+        # A delete that was not answered may be carried out seconds later, when the
+        # agent is back, registered again and has work. The next leader would not wait
+        # for it, and would start the same work elsewhere. So each write is conditional
+        # on the last known revision of the keys.
         revision_by_agent = self._revision_by_agent
         return [self._leader_unchanged()] + [
             Compare(
@@ -217,7 +234,7 @@
             for node in nodes
         ]
 
-    def _note_agents(
+    def _update_agent_revisions(
         self, nodes: list[NodeId], outcome: WriteOutcome, *, registered: bool
     ) -> None:
         if isinstance(outcome, Written):
@@ -240,7 +257,10 @@
         return Compare(LEADER_KEY, self._lease.leader_revision)
 
     async def _write_records(self, changed: list[JobEntry]) -> bool:
-        """Write the first of the changed records, as many as fit into one write."""
+        """Write the first of the changed records, as many as fit into one write.
+
+        Return False if the write failed or is in doubt.
+        """
         entries, values = _batch(changed)
         versions = [entry.version for entry in entries]
         compares = [self._leader_unchanged()]
@@ -251,7 +271,7 @@
             compares.append(Compare(key, revision, absent=revision == 0))
             puts[key] = value
             if entry.state.final and len(entry.job.spec) > SPEC_KEPT_BYTES:
-                # Every new leader reads all jobs; nothing starts this one any more.
+                # Every new leader reads all jobs, and no task of this one starts again.
                 ended = msgspec.structs.replace(entry.job, spec="")
                 puts[job_key(entry.job.id)] = encode(ended)
         outcome = await self._store.write(Txn(compares, puts))
@@ -281,7 +301,7 @@
         if self._lost_leadership(conflict):
             return
         found_by_key = {found.key: found for found in conflict.current}
-        # An earlier write without an answer took effect after all.
+        # An earlier write that was not answered may have taken effect.
         for entry, version, value in zip(entries, versions, values, strict=True):
             found = found_by_key.get(record_key(entry.job.id))
             entry.store_revision = found.mod_revision if found else 0
@@ -315,7 +335,7 @@
 
 
 def _batch(changed: list[JobEntry]) -> tuple[list[JobEntry], list[bytes]]:
-    """Return the first jobs whose records fit into one write, and these records."""
+    """Return the first jobs whose records fit into one write, and the records."""
     values: list[bytes] = []
     size = 0
     for entry in changed[:RECORDS_PER_WRITE]:
--- a/wagtailcleat/cluster/settings.py
+++ b/wagtailcleat/cluster/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the programs of a deployment: JSON, checked whole before use."""
+"""Settings files of both programs: JSON that is validated as a whole before use."""
 
 from pathlib import Path
 from typing import Annotated, TypeVar
@@ -13,8 +13,8 @@
 Addresses = list[Address]
 
 
-class Shared(msgspec.Struct, frozen=True):
-    """What both programs are told. Unknown fields are passed over."""
+class CommonSettings(msgspec.Struct, frozen=True):
+    """Settings that both programs have; unknown fields are ignored."""
 
     node: Name
     zone: Name
@@ -24,53 +24,53 @@
     secret: Secret
     store: Address
     seeds: Addresses = []
-    """Addresses of some entries; only the IP numbers are used."""
+    """Addresses of some entries; only the hosts are used."""
     grace: Positive = 6.0
-    """Seconds from SIGTERM to the end."""
+    """Seconds from SIGTERM until the process must have ended."""
     log_level: LogLevel = "INFO"
     advertised_host: str = ""
-    """Where peers reach this process, if not at `host`: behind a relay, say."""
+    """Host at which peers reach this process if not `host`, such as a relay's."""
 
     @property
     def peer_host(self) -> str:
-        """The address that peers are told."""
+        """The host that peers are told."""
         return self.advertised_host or self.host
 
 
-class EntrySettings(Shared, frozen=True, kw_only=True):
+class EntrySettings(CommonSettings, frozen=True, kw_only=True):
     """Settings of `wagtailcleat-entry` on the platform."""
 
     front: Address
     ready: Address
     status_kept: Positive = 120.0
-    """Seconds for which the state of an ended job can be asked."""
+    """Seconds for which the state of an ended job can be read."""
     advice: Address | None = None
-    """Where the service answers that knows which workers may run a step, if any."""
+    """Address of the service that knows which workers may run a step, if any."""
     cpu_share: Positive = 1.0
     """Share of a core's time that this process may use."""
     cpu_speed: Positive = 1.0
-    """How many times as fast as a usual core that one is."""
+    """Speed of that core, relative to a usual one."""
     link_mbps: Positive = 1_000.0
-    """What the link of this VM carries, in megabits a second."""
+    """Rate of this VM's link, in megabits a second."""
 
 
-class AgentSettings(Shared, frozen=True, kw_only=True):
+class AgentSettings(CommonSettings, frozen=True, kw_only=True):
     """Settings of `wagtailcleat-agent` on the platform."""
 
     control: Address
     """Where the worker on this VM sends its heartbeats."""
     run_lease_limit_ms: Count = 6_000
-    """How long the platform lets a run's lease last at most."""
+    """Longest lease of a run that the platform grants."""
 
 
-S = TypeVar("S", bound=Shared)
+S = TypeVar("S", bound=CommonSettings)
 
 
 def load(path: Path, kind: type[S]) -> S:
-    """Read and check a settings file.
+    """Return the settings of a file.
 
     Raises:
-        SettingsError: with every problem found, each with its path.
+        SettingsError: with every problem found, each with its path in the file.
 
     """
     try:
@@ -84,6 +84,6 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return host and port."""
+    """Return host and port of an address."""
     host, _, port = address.rpartition(":")
     return host, int(port)
--- a/wagtailcleat/cluster/submissions.py
+++ b/wagtailcleat/cluster/submissions.py
@@ -1,8 +1,8 @@
-"""Jobs handed in at an entry: accepted once stored, asked for, counted, cancelled.
+"""Submit, show, count and cancel jobs for the callers of an entry.
 
-An entry stores a job itself and then tells the leader; the leader's own watch finds
-it where that message is lost. So acceptance waits for the store alone, and a killed
-entry or leader loses nothing that was accepted.
+An entry stores a job itself and then notifies the leader, whose own watch finds the job
+if that message is lost. So acceptance depends on the store alone, and no accepted job
+is lost when an entry or the leader is killed.
 """
 
 import asyncio
@@ -51,21 +51,21 @@
 log = part_logger("submissions")
 
 LEADER_TIMEOUT_SECONDS = 0.8
-"""For an answer of the leader; after that the store is asked."""
+"""Time limit for an answer of the leader; the store is asked after that."""
 CANCEL_TIMEOUT_SECONDS = 1.2
 RETRY_PAUSE_SECONDS = 0.1
 ANSWER_MARGIN_SECONDS = 0.15
-"""Seconds before the caller's deadline at which the answer is sent."""
+"""How long before the caller's deadline the answer is sent."""
 
 
 class Acceptance(Enum):
-    """What became of a submission."""
+    """The outcome of a submission."""
 
     ACCEPTED = "accepted"
     NOT_STORED = "not_stored"
-    """It is not stored and never will be by this attempt."""
+    """The job is not stored, and this attempt will not store it later."""
     UNKNOWN = "unknown"
-    """It may be stored, or may yet be."""
+    """In doubt: the job may be stored already, or may be stored later."""
 
 
 @dataclass(frozen=True)
@@ -75,11 +75,11 @@
 
 @dataclass(frozen=True)
 class NotAnswered:
-    """Neither the leader nor the store has answered in time."""
+    """Neither the leader nor the store answered in time."""
 
 
 class Submissions:
-    """What callers can do with jobs."""
+    """Operations on jobs that an entry offers to its callers."""
 
     def __init__(
         self,
@@ -90,7 +90,7 @@
         leader: Callable[[], Leader | None],
         clock: Clock,
     ) -> None:
-        """Wire it; `leader` returns this entry's own leader while it leads."""
+        """Create it; `leader` returns this entry's own `Leader` while it leads."""
         self._store = store
         self._peers = peers
         self._leadership = leadership
@@ -99,16 +99,16 @@
         self._notifying: set[asyncio.Task[None]] = set()
 
     def __repr__(self) -> str:
-        """Show who leads."""
+        """Show the leader."""
         return f"<Submissions to {self._leadership.leader.node}>"
 
     async def submit(self, job: Job, *, deadline: float) -> Acceptance:
-        """Store a job; the same id twice is one job.
+        """Store a job; storing the same id twice stores one job.
 
-        Where the store does not serve this entry, the leader stores the job. Where
-        nobody reaches the store, the caller is told at once.
+        If this entry does not reach the store, the leader stores the job. If neither
+        does, the caller gets the answer at once.
 
-        Parameters: `deadline` on this process's clock.
+        Parameters: `deadline` in seconds on this process's clock.
         """
         value = encode(job)
         unknown = False
@@ -117,12 +117,12 @@
             if outcome is Acceptance.ACCEPTED:
                 log.info("Accepted", extra={"job": job.id, "queue": job.queue})
                 return outcome
-            # Once an attempt may have been carried out, no later refusal undoes it.
+            # Once an attempt may have stored the job, a later refusal proves nothing.
             unknown = unknown or outcome is Acceptance.UNKNOWN
             now = self._clock()
-            hopeless = self._store.away(now) and not unknown
+            store_unreachable = self._store.away(now) and not unknown
             if (
-                hopeless
+                store_unreachable
                 or now + RETRY_PAUSE_SECONDS + ANSWER_MARGIN_SECONDS >= deadline
             ):
                 break
@@ -155,7 +155,7 @@
         return relayed
 
     async def store(self, job: JobId, value: bytes) -> Acceptance:
-        """Store a job by one write of this entry's own."""
+        """Store a job by one write of this entry."""
         if self._store.away(self._clock()):
             return Acceptance.NOT_STORED
         key = job_key(job)
@@ -176,9 +176,9 @@
         task.add_done_callback(self._notifying.discard)
 
     async def _notify_leader(self, message: Submitted) -> None:
-        own = self._leader()
-        if own is not None:
-            await own.submitted(message)
+        own_leader = self._leader()
+        if own_leader is not None:
+            await own_leader.submitted(message)
             return
         await self._call(message)
 
@@ -193,16 +193,16 @@
         )
 
     async def state(self, job: JobId) -> JobState | NoSuchJob | NotAnswered:
-        """Return how a job stands."""
-        shown = await self._ask(ShowState(job))
-        if isinstance(shown, StateShown) and shown.state:
-            return JobState(shown.state)
+        """Return a job's state, from the leader or else from the store."""
+        answer = await self._ask(ShowState(job))
+        if isinstance(answer, StateShown) and answer.state:
+            return JobState(answer.state)
         return await self._stored_state(job)
 
     async def _ask(self, message: ShowState) -> AnyMessage | Lost:
-        own = self._leader()
-        if own is not None and own.ready:
-            return own.state(message)
+        own_leader = self._leader()
+        if own_leader is not None and own_leader.ready:
+            return own_leader.state(message)
         return await self._call(message)
 
     async def _stored_state(self, job: JobId) -> JobState | NoSuchJob | NotAnswered:
@@ -219,20 +219,23 @@
     async def cancel(
         self, job: JobId, *, deadline: float
     ) -> JobState | NoSuchJob | NotAnswered:
-        """Cancel a job for good; its state afterwards is final."""
-        own = self._leader()
+        """Cancel a job and return its state, which is final.
+
+        Parameters: `deadline` in seconds on this process's clock.
+        """
+        own_leader = self._leader()
         left = max(
             0.1,
             min(
                 CANCEL_TIMEOUT_SECONDS, deadline - self._clock() - ANSWER_MARGIN_SECONDS
             ),
         )
-        if own is not None and own.ready:
-            shown: AnyMessage | Lost = await own.cancel(CancelSteps(job), left)
+        if own_leader is not None and own_leader.ready:
+            answer: AnyMessage | Lost = await own_leader.cancel(CancelSteps(job), left)
         else:
-            shown = await self._call(CancelSteps(job), left)
-        if isinstance(shown, StateShown) and shown.state:
-            return JobState(shown.state)
+            answer = await self._call(CancelSteps(job), left)
+        if isinstance(answer, StateShown) and answer.state:
+            return JobState(answer.state)
         return await self._cancel_in_store(job)
 
     async def _cancel_in_store(self, job: JobId) -> JobState | NoSuchJob | NotAnswered:
@@ -250,9 +253,9 @@
         return NotAnswered()
 
     async def waiting(self, queue: str) -> int | NotAnswered:
-        """Count the jobs of a queue that have not begun."""
-        own = self._leader()
-        if own is not None and own.ready:
-            return own.waiting(CountWaiting(queue)).count
+        """Return the number of a queue's jobs that have not begun."""
+        own_leader = self._leader()
+        if own_leader is not None and own_leader.ready:
+            return own_leader.waiting(CountWaiting(queue)).count
         answer = await self._call(CountWaiting(queue))
         return answer.count if isinstance(answer, Waiting) else NotAnswered()
