--- a/features/platform/slow_link.feature
+++ b/features/platform/slow_link.feature
@@ -1,53 +1,53 @@
-Feature: Answers of the store that take long to arrive
+Feature: Slow answers of the store
 
   Scenario: A new leader reads a long list of jobs over a slow link
-    # Guards against a leader that never gets to know what is stored: work stood still.
+    # Guards against a leader that never completes its restore, so that no work starts.
     Given a deployment of 2 entries and 1 agent
     And 400 jobs of 2500 bytes that have ended are stored
     When the leader is killed while lists leave the store at 500000 bytes a second
-    Then a job handed in at the other entry is shown as "done" within 12 s
+    Then a job submitted at the other entry is shown as "done" within 12 s
 
-  Scenario: A list goes on for longer than a call may be silent
-    # Guards against lists that are cut off by a bound on the whole transfer.
+  Scenario: A list takes longer than a call may be silent
+    # Guards against lists that are aborted by a time limit on the whole transfer.
     Given a store that holds 900 keys of 1000 bytes
     When lists leave it at 600000 bytes a second
     Then all 900 keys are listed although a call may be silent for 0.5 s only
 
-  Scenario: A list falls silent
-    # Guards against waiting for ever for the rest of an answer.
+  Scenario: A list stops in the middle
+    # Guards against waiting without end for the rest of an answer.
     Given a store that holds 900 keys of 1000 bytes
-    When lists fall silent after 300000 bytes
+    When lists stop after 300000 bytes
     Then a list is given up within 2 s where a call may be silent for 0.5 s
 
-  Scenario: A later page of a list is lost
-    # Guards against a list that is begun anew with each lost page and never ends.
+  Scenario: A later page of a list is refused
+    # Guards against a list that restarts with each lost page and never ends.
     Given a store that holds 900 keys of 1000 bytes
     When it refuses each page after the first one twice
     Then all 900 keys are listed although a call may be silent for 0.5 s only
     And the first page was asked for once
 
   Scenario: Many changes arrive together
-    # Guards against a watch that is cut off while its events arrive, again and again.
+    # Guards against a watch that is aborted each time while its events arrive.
     Given a store that holds 900 keys of 1000 bytes
     When lists leave it at 600000 bytes a second
-    Then a watch that waits for 0.2 s tells of all 900 keys
+    Then a watch that waits for 0.2 s delivers all 900 keys
 
   Scenario: A configuration takes long to arrive
-    # Guards against an entry that never knows its queues: it refused all its callers.
+    # Guards against an entry that never reads its queues and refuses all callers.
     Given a store that holds a configuration of 900000 bytes
     When lists leave it at 600000 bytes a second
     Then the configuration is known to a process where a call may be silent for 0.5 s
 
-  Scenario: Who has asked for a list is gone
-    # Guards against faults that are logged for each part of an answer nobody waits for.
+  Scenario: A list is cancelled by its caller
+    # Guards against errors that are logged for each part of an unwanted answer.
     Given a store that holds 900 keys of 1000 bytes
     When lists leave it at 200000 bytes a second
     And a list is cancelled after 0.3 s
-    Then nothing more of it is heard of
+    Then nothing more is logged about it
 
-  Scenario: A store falls silent for many callers
-    # Guards against a renewal that waits behind reads which nobody waits for any more.
+  Scenario: A store stops answering many callers
+    # Guards against a renewal that waits behind reads that were given up.
     Given a store that holds 900 keys of 1000 bytes
-    When lists fall silent after 300000 bytes
+    When lists stop after 300000 bytes
     And 48 lists are given up where a call may be silent for 0.5 s
     Then a write is answered within 2 s
--- a/features/steps/checkpoint_delta_steps.py
+++ b/features/steps/checkpoint_delta_steps.py
@@ -1,4 +1,4 @@
-"""Steps on which checkpoints an agent's reports carry."""
+"""Steps on the checkpoints in an agent's reports."""
 
 import msgspec
 from behave import given, then, when
@@ -13,7 +13,7 @@
 from wagtailcleat.scheduling.models import RunEnd
 
 QUICK_SECONDS = 0.01
-MOST_REPORTS = 30
+MAX_REPORTS = 30
 
 
 @given("an agent with {count:d} runs that have a checkpoint of {size:d} bytes each")
@@ -28,7 +28,7 @@
     context.changes = 0
     context.delta = CheckpointDelta()
     context.epoch = 7
-    context.told = []
+    context.reported = []
     context.reports = []
     _change(context)
 
@@ -46,7 +46,7 @@
     )
     context.report = context.delta.shorten(whole)
     context.reports.append(context.report)
-    context.told += [run.key for run in context.report.running if run.checkpoint]
+    context.reported += [run.key for run in context.report.running if run.checkpoint]
 
 
 def _answered(context):
@@ -104,10 +104,10 @@
 
 
 @when(
-    'its worker begins a new life, in which {count:d} runs end as "{how}"'
+    'its worker begins a new incarnation, in which {count:d} runs end as "{how}"'
     " with {size:d} bytes"
 )
-def step_new_life(context, count, how, size):
+def step_new_incarnation(context, count, how, size):
     context.worker.reborn()
     for key in context.keys[:count]:
         context.worker.running[key] = key
@@ -143,18 +143,18 @@
         before = max(before, size)
 
 
-@then("each run's checkpoint was told {count:d} times at least")
-def step_told(context, count):
-    told = {key: context.told.count(key) for key in context.keys}
-    assert min(told.values()) >= count, told
+@then("each run's checkpoint was reported {count:d} times at least")
+def step_reported(context, count):
+    reported = {key: context.reported.count(key) for key in context.keys}
+    assert min(reported.values()) >= count, reported
 
 
-@given("a leader that has taken its report")
+@given("a leader that has handled its report")
 def step_leader(context):
-    _take(context)
+    _handle_report(context)
 
 
-def _take(context):
+def _handle_report(context):
     _report(context)
     world = context.world
     world.scheduler.take_report(
@@ -165,7 +165,7 @@
 
 @when('all its runs end as "{how}"')
 def step_end_with_checkpoints(context, how):
-    # The leader knows older ones at the most.
+    # The leader has at most the checkpoints before these.
     _change(context)
     context.checkpoints = {
         key.task: checkpoint
@@ -174,28 +174,28 @@
     _end_all(context, how, context.worker.checkpoint_by_run)
 
 
-@when("the agent reports until nothing is left out")
-def step_until_told(context):
+@when("the agent reports until nothing is omitted")
+def step_until_reported(context):
     vm = context.world.scheduler.vm_by_node["n1"]
-    context.unsafe = []
-    for _ in range(MOST_REPORTS):
-        _take(context)
-        told = {ended.key for ended in context.report.ended}
-        held = set(vm.hosted_by_run)
-        context.unsafe += [k for k in context.keys if k not in told | held]
-        if len(told) == len(context.keys):
+    context.released = []
+    for _ in range(MAX_REPORTS):
+        _handle_report(context)
+        reported = {ended.key for ended in context.report.ended}
+        hosted = set(vm.hosted_by_run)
+        context.released += [k for k in context.keys if k not in reported | hosted]
+        if len(reported) == len(context.keys):
             return
-    raise AssertionError("ends were left out of all reports")
+    raise AssertionError("ends were omitted from all reports")
 
 
-@then("after each report a run that is not told to have ended has its room")
-def step_room(context):
-    assert not context.unsafe, context.unsafe
+@then("after each report a run that is not reported as ended keeps its resources")
+def step_keeps_resources(context):
+    assert not context.released, context.released
     assert any(report.unsettled for report in context.reports)
 
 
-@then("each task goes on from its checkpoint")
-def step_goes_on(context):
+@then("each task continues from its checkpoint")
+def step_continues(context):
     book = context.world.scheduler.book
     for key in context.keys:
         task = book.task(key.task)
--- a/features/steps/hosting_steps.py
+++ b/features/steps/hosting_steps.py
@@ -1,4 +1,4 @@
-"""Steps on an agent's hold on its worker, in one process with a clock of its own."""
+"""Steps on an agent's control of its worker, in one process with a virtual clock."""
 
 import asyncio
 import json
@@ -25,30 +25,30 @@
 OTHER_HOST = "127.0.1.10"
 BORN = 1_800_000_000_000
 TASK = "00ff00ff00ff00ff.0.0.0"
-SECONDS = 10.0
-LOOK_SECONDS = 0.01
+TIMEOUT_SECONDS = 10.0
+POLL_SECONDS = 0.01
 
 
 class _ListHandler(RequestHandler):
-    """Lists one run, and the ends that the world names."""
+    """Answers lists with one run, and with the ends of the world."""
 
     def initialize(self, world):
         self.world = world
 
     def post(self):
         row = [TASK, 1, "", 10, 0]
-        ends = self.world.rows
+        ends = self.world.ends
         body = {"clockMs": 1000, "running": [row], "finished": ends, "born": BORN}
         self.finish(json.dumps(body))
 
 
 class _HostingWorld:
-    """An agent's `Hosting` with a worker that can stop listening."""
+    """An agent's `Hosting`, with a simulated worker that can stop listening."""
 
     def __init__(self, worker_host):
         self.now = 100.0
         self.worker_host = worker_host
-        self.rows = []
+        self.ends = []
         self.loop = asyncio.new_event_loop()
         self.hosting = Hosting(
             clock=lambda: self.now,
@@ -82,10 +82,10 @@
         )
 
     def until(self, condition):
-        ends_at = self.loop.time() + SECONDS
+        ends_at = self.loop.time() + TIMEOUT_SECONDS
         while not condition():
-            assert self.loop.time() < ends_at, "waited in vain"
-            self.loop.run_until_complete(asyncio.sleep(LOOK_SECONDS))
+            assert self.loop.time() < ends_at, "condition not met in time"
+            self.loop.run_until_complete(asyncio.sleep(POLL_SECONDS))
 
     def refuse(self, count):
         async def stop():
@@ -125,31 +125,31 @@
     world.refuse(count)
 
 
-@when("the leases have surely run out")
+@when("the leases have certainly expired")
 def step_leases_out(context):
     context.hosting_world.now += 2 * RUN_CONTACT_LIMIT_SECONDS
 
 
 @then("the task still counts as running")
-def step_still(context):
-    assert context.hosting_world.hosting.running, "its runs were given up"
+def step_still_running(context):
+    assert context.hosting_world.hosting.running, "its runs count as lost"
 
 
 @then("the task counts as lost")
 def step_lost(context):
     world = context.hosting_world
     world.until(lambda: not world.hosting.running)
-    assert world.hosting.listed, "the leader would not take this in"
+    assert world.hosting.listed, "the report would not list the runs"
 
 
-@when("the worker runs a task and a leave of its earlier life arrives")
+@when("the worker runs a task and a leave of its earlier incarnation arrives")
 def step_late_leave(context):
     world = context.hosting_world
     world.until(lambda: world.hosting.running)
     world.leave(BORN - 1000)
 
 
-@when("the leave of its present life arrives")
+@when("the leave of its present incarnation arrives")
 def step_leave(context):
     context.hosting_world.leave(BORN)
 
--- a/features/steps/leader_steps.py
+++ b/features/steps/leader_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what reaches a leader late, or before it knows of it."""
+"""Steps on messages that reach a leader late, or before it knows their job."""
 
 from behave import given, then, when
 
@@ -42,12 +42,12 @@
     world.store_job(context.submitted, record)
 
 
-@when("a leader is told of the job while it waits for the lists of the store")
-def step_told_early(context):
+@when("a leader is notified of the job while it waits for the lists of the store")
+def step_notified_early(context):
     world = context.leading
     world.store.open.clear()
     world.lead()
-    world.until(lambda: world.store.asked_lists)
+    world.until(lambda: world.store.lists_requested)
     message = Submitted(JOB, encode(context.submitted))
     world.loop.run_until_complete(world.leader.submitted(message))
     world.store.open.set()
@@ -72,24 +72,24 @@
 
 
 @when(
-    "a report is held up, and its agent reports and starts the task"
+    "a report is delayed, and its agent reports and starts the task"
     " on another connection"
 )
-def step_held_up(context):
-    _held_up(context, 1)
+def step_delayed(context):
+    _delay_report(context, 1)
 
 
-@when("an agent's report is held up, and its next life starts the task")
-def step_next_life(context):
-    _held_up(context, 2)
+@when("an agent's report is delayed, and its next incarnation starts the task")
+def step_next_incarnation(context):
+    _delay_report(context, 2)
 
 
-def _held_up(context, life):
+def _delay_report(context, incarnation):
     world = context.leading
     first, second = world.workers
     context.old_stream = world.stream_by_node[first.node]
-    context.old_report = world.made(first)
-    world.life_by_node[first.node] = life
+    context.old_report = world.make_report(first)
+    world.incarnation_by_node[first.node] = incarnation
     world.open(first)
     second.state = WorkerState.DRAINING
     world.rounds()
@@ -102,11 +102,11 @@
     world.report(second)
 
 
-@when("the report that was held up arrives")
+@when("the delayed report arrives")
 def step_arrives(context):
     world = context.leading
     world.report(world.workers[0], stream=context.old_stream, report=context.old_report)
-    world.pass_rounds()
+    world.wait_rounds()
 
 
 @then("the task was started once")
@@ -131,17 +131,17 @@
 def step_late_watch(context):
     world = _begin(context)
     _lead(world)
-    world.store.watched = False
+    world.store.delivers_changes = False
 
 
-@when("a job is stored, and an earlier leader's run of it ends well")
-def step_ends(context):
+@when("a job is stored, and an earlier leader's run of it succeeds")
+def step_succeeds(context):
     _stored_and_runs(context)
     context.leading.workers[0].end(EARLIER_RUN, RunEnd.SUCCEEDED)
 
 
-@when("a job is stored, and an earlier leader's run of it goes on")
-def step_goes_on(context):
+@when("a job is stored, and an earlier leader's run of it continues")
+def step_continues(context):
     _stored_and_runs(context)
 
 
@@ -151,21 +151,21 @@
     world.workers[0].running[EARLIER_RUN] = Start(EARLIER_RUN, "x")
 
 
-@when("the watch tells of the job")
+@when("the watch delivers the job")
 def step_watch(context):
     world = context.leading
-    world.store.watched = True
+    world.store.delivers_changes = True
     world.until(lambda: JOB in world.leader.scheduler.book.entry_by_id)
 
 
-@then("just that run goes on")
-def step_just_that(context):
+@then("only that run continues")
+def step_only_that(context):
     runs = context.leading.runs(JOB)
     assert runs == [("vm-1", EARLIER_RUN)], runs
 
 
-@when("a run of a job that was forgotten ends well")
-def step_forgotten(context):
+@when("a run of a deleted job succeeds")
+def step_deleted_job(context):
     worker = context.leading.workers[0]
     worker.running[EARLIER_RUN] = Start(EARLIER_RUN, "x")
     worker.end(EARLIER_RUN, RunEnd.SUCCEEDED)
@@ -175,15 +175,15 @@
 def step_late_deletes(context):
     world = _begin(context)
     _lead(world)
-    world.store.holds_deletes = True
+    world.store.delays_deletes = True
 
 
-@when("an agent is out of touch until it is struck, and is then back in touch")
-def step_struck(context):
+@when("an agent is disconnected until it is deregistered, and then connects again")
+def step_deregistered(context):
     world = context.leading
     worker = world.workers[0]
     world.stream_by_node.pop(worker.node).close("cut")
-    world.until(lambda: world.store.late)
+    world.until(lambda: world.store.delayed_writes)
     world.rounds()
     vm = world.leader.scheduler.vm_by_node[worker.node]
     world.until(lambda: vm.registered)
@@ -192,14 +192,14 @@
 @when("the late delete is carried out")
 def step_delete_late(context):
     store = context.leading.store
-    for txn in store.late:
-        store.carry_out(txn)
+    for txn in store.delayed_writes:
+        store.apply(txn)
 
 
-@then("the store names each agent that may be given work")
-def step_named(context):
+@then("each agent that may be given work is registered in the store")
+def step_registered(context):
     world = context.leading
-    named = {
+    registered = {
         key.removeprefix(AGENT_PREFIX)
         for key in world.store.found_by_key
         if key.startswith(AGENT_PREFIX)
@@ -207,24 +207,24 @@
     usable = {
         node for node, vm in world.leader.scheduler.vm_by_node.items() if vm.registered
     }
-    assert usable, "no agent may be given work"
-    assert usable <= named, usable - named
+    assert usable, "no agent is registered"
+    assert usable <= registered, usable - registered
 
 
-@when("an agent is out of touch until it is to be struck")
-def step_to_be_struck(context):
+@when("an agent is disconnected until it is to be deregistered")
+def step_to_be_deregistered(context):
     world = context.leading
     world.stream_by_node.pop(world.workers[0].node).close("cut")
-    world.until(lambda: world.store.late)
+    world.until(lambda: world.store.delayed_writes)
 
 
 @when("the store answers again")
 def step_store_answers(context):
-    context.leading.store.holds_deletes = False
+    context.leading.store.delays_deletes = False
 
 
-@then("the store does not name the agent any more")
-def step_not_named(context):
+@then("the agent is no longer registered in the store")
+def step_not_registered(context):
     world = context.leading
     key = agent_key(world.workers[0].node)
     world.until(lambda: key not in world.store.found_by_key)
@@ -233,22 +233,22 @@
 READING = Reading("watch-job", "watch", 0.5, {"build": 0.1}, 100.0)
 
 
-def _learnt(world):
+def _interference(world):
     return world.leader.scheduler.sharing.interference.learnt()
 
 
-@given("a leader that has learnt which images interfere")
-def step_has_learnt(context):
+@given("a leader that has measured which images interfere")
+def step_has_measured(context):
     world = _begin(context)
     _lead(world)
     for _ in range(20):
         world.leader.scheduler.sharing.interference.learn(READING)
     world.until(lambda: INTERFERENCE_KEY in world.store.found_by_key)
-    context.learnt = _learnt(world)
+    context.learnt = _interference(world)
     assert context.learnt.added
 
 
-@given("a store whose learnt images are unreadable")
+@given("a store with unreadable interference of images")
 def step_unreadable(context):
     _begin(context).store.put(INTERFERENCE_KEY, b"\xc1 not ours")
 
@@ -263,16 +263,16 @@
     world.rounds()
 
 
-@then("it knows the same images")
+@then("it knows the same interference")
 def step_knows(context):
-    restored = _learnt(context.leading)
+    restored = _interference(context.leading)
     assert [row[:3] for row in restored.added] == [
         row[:3] for row in context.learnt.added
     ], (restored, context.learnt)
     assert restored.images == context.learnt.images
 
 
-@then("it leads, and knows nothing of images")
+@then("it leads, and knows no interference")
 def step_knows_nothing(context):
     assert context.leading.leader.acting
-    assert not _learnt(context.leading).added
+    assert not _interference(context.leading).added
--- a/features/steps/leader_world.py
+++ b/features/steps/leader_world.py
@@ -1,4 +1,4 @@
-"""A whole leader with a store, agents and workers in one process, without network."""
+"""A real leader with a simulated store, agents and workers in one process."""
 
 import asyncio
 
@@ -23,34 +23,34 @@
 from wagtailcleat.wire.parts import Lost
 from wagtailcleat.wire.results import Done
 
-SECONDS = 10.0
-LOOK_SECONDS = 0.005
+TIMEOUT_SECONDS = 10.0
+POLL_SECONDS = 0.005
 VALID_SECONDS = 1000.0
-LOOKS = 8
-"""So many looks take longer than two of the leader's rounds."""
+POLLS_PER_WAIT = 8
+"""Polls in one wait; together they take longer than two of the leader's rounds."""
 
 
 class PretendedStore:
-    """A store whose lists, watches and answers can be held back."""
+    """A store in memory whose lists, watches and answers can be delayed."""
 
     def __init__(self):
-        """Hold nothing, and answer everything at once."""
+        """Start empty, and answer everything at once."""
         self.found_by_key = {}
         self.revision = 0
         self.open = asyncio.Event()
         """Set while lists are answered."""
         self.open.set()
-        self.asked_lists = 0
-        self.watched = True
-        """Whether watches tell of anything."""
-        self.most_bytes = 0
-        """Writes of more get no answer and are not carried out; 0: any are taken."""
-        self.single_too = False
-        """Whether this holds for a write of a single key too."""
-        self.refused_writes = 0
-        self.holds_deletes = False
-        """Whether a write that deletes gets no answer, and is carried out late."""
-        self.late = []
+        self.lists_requested = 0
+        self.delivers_changes = True
+        """Whether watches deliver changes."""
+        self.max_write_bytes = 0
+        """Larger writes get no answer and are not applied; 0: no limit."""
+        self.limits_single_writes = False
+        """Whether the limit also holds for a write of a single key."""
+        self.unanswered_writes = 0
+        self.delays_deletes = False
+        """Whether a write that deletes gets no answer and is kept for later."""
+        self.delayed_writes = []
 
     def put(self, key, value):
         """Write one key."""
@@ -58,42 +58,42 @@
         self.found_by_key[key] = Found(key, value, self.revision)
 
     async def list(self, prefix):
-        """Return what a prefix holds, once lists are answered."""
-        self.asked_lists += 1
+        """Return the keys under a prefix, once lists are answered."""
+        self.lists_requested += 1
         await self.open.wait()
         found = [f for key, f in self.found_by_key.items() if key.startswith(prefix)]
         return Listing(found, self.revision)
 
     async def get(self, key):
-        """Return a key's value."""
+        """Return a key with its value, or its absence."""
         return self.found_by_key.get(key) or Absent(self.revision)
 
     async def changes(self, prefix, after, *, wait_seconds):
-        """Wait until a prefix has changed."""
+        """Wait until a key under a prefix has changed."""
         while True:
             found = [
                 Event(f.key, f.value, f.mod_revision)
                 for f in self.found_by_key.values()
                 if f.key.startswith(prefix) and f.mod_revision > after
             ]
-            if self.watched and found:
+            if self.delivers_changes and found:
                 return Changes(found, self.revision)
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(POLL_SECONDS)
 
     async def write(self, txn: Txn):
-        """Carry a write out, or hold it back without an answer."""
-        if txn.deletes and self.holds_deletes:
-            self.late.append(txn)
+        """Apply a write, or leave it without an answer."""
+        if txn.deletes and self.delays_deletes:
+            self.delayed_writes.append(txn)
             return Unknown("no answer")
         size = sum(len(value) for value in txn.puts.values())
-        bounded = self.single_too or len(txn.puts) > 1
-        if self.most_bytes and bounded and size > self.most_bytes:
-            self.refused_writes += 1
+        bounded = self.limits_single_writes or len(txn.puts) > 1
+        if self.max_write_bytes and bounded and size > self.max_write_bytes:
+            self.unanswered_writes += 1
             return Unknown("no answer")
-        return self.carry_out(txn)
+        return self.apply(txn)
 
-    def carry_out(self, txn):
-        """Carry a write out if its compares hold."""
+    def apply(self, txn):
+        """Apply a write if its compares hold."""
         for compare in txn.compares:
             found = self.found_by_key.get(compare.key)
             revision = found.mod_revision if found else 0
@@ -112,13 +112,13 @@
     """A connection that an agent opened to the leader."""
 
     def __init__(self, worker, opened_at):
-        """Take orders for `worker`."""
+        """Create a connection whose orders go to `worker`."""
         self.worker = worker
         self.opened_at = opened_at
         self.closed = False
 
     async def call(self, orders, *, timeout):
-        """Let the agent take orders."""
+        """Deliver orders to the worker."""
         self.worker.take(orders)
         return Done()
 
@@ -136,31 +136,31 @@
 
 class _Peers:
     async def call(self, host, port, message, *, timeout):
-        """Reach nobody."""
-        return Lost(sent=False, reason="nobody there")
+        """Fail, as if no process could be reached."""
+        return Lost(sent=False, reason="no process")
 
 
 class LeaderWorld:
-    """One leader, and agents that report when they are told to."""
+    """One leader, and agents that report when a step says so."""
 
     def __init__(self, count=2):
-        """Begin with agents that have not reported, and no leader."""
+        """Start without a leader, with agents that have not reported."""
         self.loop = asyncio.new_event_loop()
         self.store = PretendedStore()
         self.store.put(LEADER_KEY, b"mine")
         self.workers = [PretendedWorker(f"vm-{n}") for n in range(1, count + 1)]
         self.streams_opened = 0
         self.reports_made = 0
-        self.life_by_node = {}
+        self.incarnation_by_node = {}
         self.stream_by_node = {}
         self.leader = None
         self.work = None
-        self.rounds_decided = 0
-        """How many rounds the leaders have decided, while they were acting."""
+        self.rounds_counted = 0
+        """Number of rounds in which a leader was allowed to act."""
         self.now = 100.0
 
     def lead(self, epoch=2):
-        """Let a leader begin."""
+        """Start a leader."""
         revision = self.store.found_by_key[LEADER_KEY].mod_revision
         lease = LeaderLease(
             epoch,
@@ -184,26 +184,26 @@
         self.work = self.loop.create_task(self.leader.run())
 
     def _zones_out(self):
-        # A leader asks for these once in each round.
-        self.rounds_decided += 1
+        # A leader that may act asks for the zones once in each round.
+        self.rounds_counted += 1
         return frozenset()
 
     def store_job(self, job: Job, record: JobRecord | None = None):
-        """Store a job, with its progress if there is any."""
+        """Store a job, and its progress record if given."""
         self.store.put(JOB_PREFIX + job.id, encode(job))
         if record is not None:
             self.store.put(record_key(job.id), encode(record))
 
     def until(self, condition):
-        """Wait for a condition."""
-        ends_at = self.loop.time() + SECONDS
+        """Wait until a condition is true."""
+        ends_at = self.loop.time() + TIMEOUT_SECONDS
         while not condition():
-            assert self.loop.time() < ends_at, "waited in vain"
+            assert self.loop.time() < ends_at, "condition not met in time"
             self.pause()
 
     def pause(self):
-        """Let the leader work for a moment."""
-        self.loop.run_until_complete(asyncio.sleep(LOOK_SECONDS))
+        """Let the leader run for a moment."""
+        self.loop.run_until_complete(asyncio.sleep(POLL_SECONDS))
 
     def open(self, worker):
         """Open a connection of an agent."""
@@ -213,39 +213,39 @@
         return stream
 
     def report(self, worker, *, stream=None, report=None):
-        """Deliver a report, on the agent's newest connection if none is given."""
+        """Deliver a report, by default a new one on the agent's latest connection."""
         stream = stream or self.stream_by_node.get(worker.node) or self.open(worker)
-        report = report or self.made(worker)
+        report = report or self.make_report(worker)
         return self.loop.run_until_complete(self.leader.report(stream, report, None))
 
-    def made(self, worker):
-        """Return the report that an agent makes now."""
+    def make_report(self, worker):
+        """Return a new report of an agent."""
         self.reports_made += 1
         return msgspec.structs.replace(
             worker.report(),
             number=self.reports_made,
             epoch=self.leader.lease.epoch,
-            incarnation=self.life_by_node.get(worker.node, 1),
+            incarnation=self.incarnation_by_node.get(worker.node, 1),
         )
 
     def rounds(self, count=3):
-        """Let every agent report some times, and the leader decide."""
+        """Let every agent report `count` times, and the leader decide after each."""
         for _ in range(count):
             for worker in self.workers:
                 self.report(worker)
-            self.pass_rounds()
+            self.wait_rounds()
 
-    def pass_rounds(self):
-        """Let the leader decide a few times without a report."""
-        before = self.rounds_decided
-        for _ in range(LOOKS):
+    def wait_rounds(self):
+        """Wait until the leader has decided at least once without a new report."""
+        before = self.rounds_counted
+        for _ in range(POLLS_PER_WAIT):
             self.pause()
-        self.until(lambda: self.rounds_decided > before)
-        # What the last round decided is sent by tasks of its own.
+        self.until(lambda: self.rounds_counted > before)
+        # The orders of the last round are sent by separate tasks.
         self.pause()
 
     def runs(self, job):
-        """Return what runs of a job."""
+        """Return the runs of a job with the nodes that they are on."""
         return [
             (worker.node, key)
             for worker in self.workers
@@ -254,7 +254,7 @@
         ]
 
     def close(self):
-        """End the leader."""
+        """Stop the leader."""
         if self.work is not None:
             self.work.cancel()
             self.loop.run_until_complete(
--- a/features/steps/restoring_steps.py
+++ b/features/steps/restoring_steps.py
@@ -1,11 +1,11 @@
-"""Steps on a leader that takes long to restore, on virtual time."""
+"""Steps on a leader that takes long to restore the stored jobs, on virtual time."""
 
 import asyncio
 
 import msgspec
 from behave import given, then, when
 
-from features.steps.leader_world import SECONDS as LEADER_SECONDS
+from features.steps.leader_world import TIMEOUT_SECONDS as LEADER_SECONDS
 from features.steps.leader_world import LeaderWorld
 from features.steps.scheduling_world import make_job, plain
 from features.steps.takeover_world import TakeoverWorld
@@ -13,7 +13,7 @@
 from wagtailcleat.scheduling.models import RunEnd
 from wagtailcleat.wire.scheduling import KeepFollowing, Leads
 
-SECONDS = 20.0
+TIMEOUT_SECONDS = 20.0
 AGENTS = 3
 
 
@@ -28,7 +28,7 @@
     context.add_cleanup(world.close)
     context.large = world.until_led()
     assert context.large is world.entries[0]
-    # Every agent is registered, and the entries know each other.
+    # By then every agent is registered, and the entries know each other.
     world.wait(2.0)
 
 
@@ -46,13 +46,13 @@
     def claimed():
         return any(entry.leader for entry in world.entries[1:])
 
-    world.until(claimed, SECONDS, "another entry claims")
+    world.until(claimed, TIMEOUT_SECONDS, "another entry claims")
     context.small = next(entry for entry in world.entries[1:] if entry.leader)
     assert not context.small.leader.ready
 
 
 @when("the large entry comes back")
-def step_back(context):
+def step_comes_back(context):
     context.large = context.world.restart(context.large)
 
 
@@ -64,10 +64,12 @@
     )
 
 
-@when("it has restored what is stored")
+@when("it has restored the stored jobs")
 def step_restored(context):
     leader = context.small.leader
-    context.world.until(lambda: leader.ready, SECONDS, "the book is restored")
+    context.world.until(
+        lambda: leader.ready, TIMEOUT_SECONDS, "the stored jobs are restored"
+    )
 
 
 @then("each agent was refused {count:d} times at most")
@@ -77,40 +79,44 @@
     assert max(refused.values()) <= count, refused
 
 
-@then("each agent is heard within {seconds:g} s")
-def step_heard(context, seconds):
+@then("each agent has reported within {seconds:g} s")
+def step_reported(context, seconds):
     scheduler = context.small.leader.scheduler
-    context.world.until(lambda: not scheduler.unheard, seconds, "every agent is heard")
+    context.world.until(
+        lambda: not scheduler.unheard, seconds, "every agent has reported"
+    )
 
 
-@when("a small entry dies, comes back and is told at once who leads")
-def step_told(context):
+@when("a small entry dies, comes back and learns at once who leads")
+def step_learns_early(context):
     world = context.world
     small = world.entries[-1]
     small.kill()
     context.small = world.restart(small)
-    told = context.small.leadership.leader_announced(context.large.leadership.leader)
-    world.loop.run_until_complete(told)
+    announced = context.small.leadership.leader_announced(
+        context.large.leadership.leader
+    )
+    world.loop.run_until_complete(announced)
 
 
-@then("it gives the leader its word within {seconds:g} s")
-def step_word(context, seconds):
+@then("it gives the leader its promise within {seconds:g} s")
+def step_promise(context, seconds):
     world = context.world
     leadership = context.small.leadership
 
     def given():
         asked = KeepFollowing(context.large.leadership.leader.epoch)
-        word = world.loop.run_until_complete(leadership.keep_following(asked))
-        return word.seconds > 0
+        promise = world.loop.run_until_complete(leadership.keep_following(asked))
+        return promise.seconds > 0
 
-    world.until(given, seconds, "it gives its word")
+    world.until(given, seconds, "it gives its promise")
 
 
 @given("a leader whose store answers no write of several records above {size:d} bytes")
 def step_leader(context, size):
     context.leading = LeaderWorld()
     context.add_cleanup(context.leading.close)
-    context.leading.store.most_bytes = size
+    context.leading.store.max_write_bytes = size
     context.leading.lead()
     context.leading.until(lambda: context.leading.leader.ready)
     context.leading.rounds()
@@ -153,8 +159,8 @@
     world.rounds()
     context.jobs = [f"{number:016x}" for number in range(count)]
     for job in context.jobs:
-        made = make_job(job, plain(1, cores=0.5))
-        world.store_job(msgspec.structs.replace(made, spec="x" * size))
+        make_report = make_job(job, plain(1, cores=0.5))
+        world.store_job(msgspec.structs.replace(make_report, spec="x" * size))
     world.until(lambda: all(world.runs(job) for job in context.jobs))
 
 
@@ -211,27 +217,31 @@
 
     async def hold(near, far, message):
         between = {near, far} <= set(world.entry_hosts) and small.host in (near, far)
-        untold = far == agent.host and isinstance(message, Leads) and near == third.host
-        if between or (untold and message.node == third.node):
+        not_notified = (
+            far == agent.host and isinstance(message, Leads) and near == third.host
+        )
+        if between or (not_notified and message.node == third.node):
             await asyncio.Event().wait()
 
     world.network.hold = hold
     context.third = third
-    world.until(lambda: third in world.leading(), SECONDS, "the third entry leads")
+    world.until(
+        lambda: third in world.leading(), TIMEOUT_SECONDS, "the third entry leads"
+    )
 
 
-@then("an agent that was not told of that is heard by it within {seconds:g} s")
-def step_untold_heard(context, seconds):
+@then("an agent that was not notified reports to it within {seconds:g} s")
+def step_unnotified_reports(context, seconds):
     unheard = context.third.leader.scheduler.unheard
     context.world.until(
-        lambda: context.agent.node not in unheard, seconds, "the agent is heard"
+        lambda: context.agent.node not in unheard, seconds, "the agent has reported"
     )
 
 
 @given("a leader whose store answers no write above {size:d} bytes")
 def step_leader_small_writes(context, size):
     step_leader(context, size)
-    context.leading.store.single_too = True
+    context.leading.store.limits_single_writes = True
 
 
 @when(
@@ -265,16 +275,16 @@
 def step_outage(context, count, writes):
     _run_jobs(context, count)
     world = context.leading
-    world.store.most_bytes = 1
-    world.store.single_too = True
+    world.store.max_write_bytes = 1
+    world.store.limits_single_writes = True
     _end_runs(world, 10)
-    world.until(lambda: world.store.refused_writes >= writes)
+    world.until(lambda: world.store.unanswered_writes >= writes)
 
 
-@when("the store takes all writes again")
-def step_takes_again(context):
+@when("the store accepts all writes again")
+def step_accepts_again(context):
     store = context.leading.store
-    store.most_bytes = 0
+    store.max_write_bytes = 0
     context.revision = store.revision
 
 
@@ -296,7 +306,7 @@
     world.wait(2.0)
     for _ in range(agents):
         world.submit(count=40, cores=0.2)
-    world.until(lambda: len(world.running()) == 40 * agents, SECONDS, "all run")
+    world.until(lambda: len(world.running()) == 40 * agents, TIMEOUT_SECONDS, "all run")
 
 
 @given(
--- a/features/steps/slow_link_steps.py
+++ b/features/steps/slow_link_steps.py
@@ -1,4 +1,4 @@
-"""Steps on answers of the store that take long to arrive."""
+"""Steps on slow answers of the store."""
 
 import asyncio
 import json
@@ -19,7 +19,7 @@
 from wagtailcleat.platform.operators import CONFIGURATION_KEY
 from wagtailcleat.storage import Changes, Listing, Txn, Unavailable, Written
 
-KNOWN_SECONDS = 8.0
+CONFIGURATION_TIMEOUT_SECONDS = 8.0
 
 
 @given("{count:d} jobs of {size:d} bytes that have ended are stored")
@@ -38,7 +38,7 @@
     leader.kill()
 
 
-@then('a job handed in at the other entry is shown as "{state}" within {seconds:g} s')
+@then('a job submitted at the other entry is shown as "{state}" within {seconds:g} s')
 def step_served(context, state, seconds):
     cluster = context.cluster
     ends_at = time.monotonic() + seconds
@@ -62,8 +62,8 @@
     context.store.faults(bytes_per_second=rate)
 
 
-@when("lists fall silent after {count:d} bytes")
-def step_stall(context, count):
+@when("lists stop after {count:d} bytes")
+def step_stop_after(context, count):
     context.store.faults(stall_after_bytes=count)
 
 
@@ -119,13 +119,13 @@
 @then(
     "a list is given up within {bound:g} s where a call may be silent for {seconds:g} s"
 )
-def step_given_up(context, bound, seconds):
-    began = time.monotonic()
+def step_aborted(context, bound, seconds):
+    started_at = time.monotonic()
     assert isinstance(_list(context, seconds), Unavailable)
-    assert time.monotonic() - began < bound
+    assert time.monotonic() - started_at < bound
 
 
-@then("a watch that waits for {seconds:g} s tells of all {count:d} keys")
+@then("a watch that waits for {seconds:g} s delivers all {count:d} keys")
 def step_watch(context, seconds, count):
     changes = _ask(
         context,
@@ -140,12 +140,12 @@
     "the configuration is known to a process"
     " where a call may be silent for {seconds:g} s"
 )
-def step_known(context, seconds):
+def step_configuration_known(context, seconds):
     async def follow(store):
         known = asyncio.Event()
         watch = OperatorWatch(store, wait_seconds=1.0, on_change=known.set)
         following = asyncio.create_task(watch.run())
-        async with asyncio.timeout(KNOWN_SECONDS):
+        async with asyncio.timeout(CONFIGURATION_TIMEOUT_SECONDS):
             await known.wait()
         following.cancel()
         return watch.queues
@@ -153,8 +153,8 @@
     assert _ask(context, seconds, follow).version == 3
 
 
-class _Kept(logging.Handler):
-    """Keeps what is logged."""
+class _LogCollector(logging.Handler):
+    """Collects the messages that are logged."""
 
     def __init__(self):
         super().__init__()
@@ -166,10 +166,10 @@
 
 @when("a list is cancelled after {seconds:g} s")
 def step_cancel_list(context, seconds):
-    kept = _Kept()
+    collector = _LogCollector()
     loggers = [logging.getLogger(name) for name in ("tornado.application", "asyncio")]
     for logger in loggers:
-        logger.addHandler(kept)
+        logger.addHandler(collector)
 
     async def cancel(store):
         listing = asyncio.create_task(store.list("keys/"))
@@ -181,24 +181,24 @@
         _ask(context, 0.5, cancel)
     finally:
         for logger in loggers:
-            logger.removeHandler(kept)
-    context.logged = kept.lines
+            logger.removeHandler(collector)
+    context.logged = collector.lines
 
 
-@then("nothing more of it is heard of")
-def step_nothing_heard(context):
+@then("nothing more is logged about it")
+def step_nothing_logged(context):
     assert not context.logged, context.logged[:3]
 
 
 @when("{count:d} lists are given up where a call may be silent for {seconds:g} s")
-def step_many_given_up(context, count, seconds):
+def step_many_aborted(context, count, seconds):
     async def give_up(store):
         lists = [store.list("keys/") for _ in range(count)]
         for listing in await asyncio.gather(*lists):
             assert isinstance(listing, Unavailable), listing
-        began = time.monotonic()
+        started_at = time.monotonic()
         outcome = await store.write(Txn([], {"other": b"x"}))
-        return outcome, time.monotonic() - began
+        return outcome, time.monotonic() - started_at
 
     context.outcome, context.seconds = _ask(context, seconds, give_up)
 
