--- a/features/steps/takeover_histories.py
+++ b/features/steps/takeover_histories.py
@@ -85,7 +85,7 @@
         if running := self.world.running():
             agent, key = self.random.choice(running)
             agent.worker.end(key, RunEnd.SUCCEEDED)
-            agent.following.news()
+            agent.following.report_soon()
 
     def _some(self) -> list:
         processes = [*self.world.entries, *self.world.agents]
--- a/features/steps/takeover_world.py
+++ b/features/steps/takeover_world.py
@@ -469,7 +469,7 @@
             self.world.started(self, start.key)
         for key in orders.stops:
             self.worker.end(key, RunEnd.STOPPED)
-        self.following.news()
+        self.following.report_soon()
 
     def _lengthen(self, now: float) -> None:
         until = min(
@@ -595,5 +595,5 @@
                 if self.clock() >= agent.lease_until:
                     for key in list(agent.worker.running):
                         agent.worker.end(key, RunEnd.LAPSED)
-                        agent.following.news()
+                        agent.following.report_soon()
             await asyncio.sleep(0.005)
--- a/wagtailcleat/cluster/agent_app.py
+++ b/wagtailcleat/cluster/agent_app.py
@@ -52,7 +52,7 @@
             may_start=self.following.may_act,
             leader_contact_at=lambda: self.following.contact_at,
             zone_out=lambda zone: zone in self.operators.zones_out,
-            on_change=self.following.news,
+            on_change=self.following.report_soon,
         )
         common.dispatch.add_plain({Leads: self.following.leader_announced})
         common.dispatch.add({Orders: self.following.orders})
--- a/wagtailcleat/cluster/checkpoint_delta.py
+++ b/wagtailcleat/cluster/checkpoint_delta.py
@@ -47,7 +47,7 @@
         """Size limit of the checkpoints in the next report."""
         self._limit = LARGEST_BYTES
         """Upper limit of the window; lower after a lost report."""
-        self._full = False
+        self._window_exceeded = False
         """Whether the last report omitted a checkpoint that exceeded the window."""
 
     def __repr__(self) -> str:
@@ -64,13 +64,13 @@
         born = report.worker.born if report.worker is not None else 0
         if self._context != (report.epoch, born):
             self._begin(report.epoch, born)
-        self._full = False
-        ended, left_out, room = self._ends(report.ended)
+        self._window_exceeded = False
+        ended, omitted, room = self._ends(report.ended)
         return msgspec.structs.replace(
             report,
             running=self._running(report.running, room),
             ended=ended,
-            unsettled=report.unsettled + left_out,
+            unsettled=report.unsettled + omitted,
         )
 
     def answered(self, report: Report, *, seconds: float) -> None:
@@ -86,7 +86,7 @@
         self._last_end = max([self._last_end, *numbers])
         if seconds > SLOW_ANSWER_SECONDS:
             self._window = max(FIRST_BYTES, self._window // 2)
-        elif self._full:
+        elif self._window_exceeded:
             self._limit = min(LARGEST_BYTES, self._limit + FIRST_BYTES)
             self._window = min(self._limit, max(FIRST_BYTES, 2 * self._window))
 
@@ -109,18 +109,18 @@
         omitted, all later ones are omitted too.
         """
         ends: list[Ended] = []
-        left_out: list[RunKey] = []
+        omitted: list[RunKey] = []
         room = self._window
         for ended in sorted(listed, key=lambda end: end.number):
             if ended.number <= self._last_end:
                 ends.append(msgspec.structs.replace(ended, checkpoint=""))
-            elif not left_out and self._fits(ended.checkpoint, room):
+            elif not omitted and self._fits(ended.checkpoint, room):
                 room = max(0, room - len(ended.checkpoint))
                 ends.append(ended)
             else:
-                left_out.append(ended.key)
-        self._full = self._full or bool(left_out)
-        return ends, left_out, room
+                omitted.append(ended.key)
+        self._window_exceeded = self._window_exceeded or bool(omitted)
+        return ends, omitted, room
 
     def _running(self, listed: list[Running], room: int) -> list[Running]:
         """Return the runs; those whose checkpoint was sent longest ago come first.
@@ -136,7 +136,7 @@
                 room = max(0, room - len(running.checkpoint))
                 carried.add(running.key)
             else:
-                self._full = True
+                self._window_exceeded = True
         return [
             run if run.key in carried else msgspec.structs.replace(run, checkpoint="")
             for run in listed
--- a/wagtailcleat/cluster/claims.py
+++ b/wagtailcleat/cluster/claims.py
@@ -225,9 +225,11 @@
         outcome = await self._store.write(Txn(compares, puts))
         if isinstance(outcome, Written):
             return outcome
-        return await self._settle_claim(leader, outcome)
+        return await self._resolve_conflict(leader, outcome)
 
-    async def _settle_claim(self, leader: Leads, outcome: WriteOutcome) -> WriteOutcome:
+    async def _resolve_conflict(
+        self, leader: Leads, outcome: WriteOutcome
+    ) -> WriteOutcome:
         # The HTTP library may send a claim twice, and the second one then conflicts
         # with the first. The value of the leader key shows which entry has won.
         if not isinstance(outcome, Conflict):
--- a/wagtailcleat/cluster/following.py
+++ b/wagtailcleat/cluster/following.py
@@ -85,7 +85,7 @@
         self._delta = CheckpointDelta()
         self._on_answer = on_answer
         self._on_orders = on_orders
-        self._news = asyncio.Event()
+        self._report_due = asyncio.Event()
         self._announced = asyncio.Event()
         """Set when a leader announces itself."""
         self._searches = 0
@@ -99,9 +99,9 @@
         """Return whether orders of the leader may be carried out now."""
         return self._clock() < self.valid_until
 
-    def news(self) -> None:
+    def report_soon(self) -> None:
         """Report soon, because something has changed."""
-        self._news.set()
+        self._report_due.set()
 
     async def leader_announced(self, message: AnyMessage) -> AnyMessage:
         """Follow a leader that announces itself."""
@@ -126,18 +126,18 @@
         while True:
             try:
                 async with asyncio.timeout(REPORT_INTERVAL_SECONDS):
-                    await self._news.wait()
+                    await self._report_due.wait()
                 await asyncio.sleep(COALESCE_SECONDS)
             except TimeoutError:
                 pass
-            self._news.clear()
+            self._report_due.clear()
             if self._leader is None:
                 await self._find_leader()
             leader = self._leader
             if leader is not None and not await self._report(leader):
                 if self._leader is leader:
                     self._leader = None
-                self._news.set()
+                self._report_due.set()
 
     async def _report(self, leader: Leads) -> bool:
         stream = await self._peers.stream(leader.host, leader.port)
@@ -156,7 +156,7 @@
             return await self._follow(answer.epoch)
         if isinstance(answer, Refused) and answer.code == Code.RESTORING.value:
             await self._wait_until_announced()
-            self._news.set()
+            self._report_due.set()
             return True
         if not isinstance(answer, ReportTaken) or answer.epoch != self.epoch:
             return False
@@ -191,7 +191,7 @@
         self.epoch = epoch
         self._orders_taken = 0
         self.valid_until = 0.0
-        self._news.set()
+        self._report_due.set()
         return True
 
     async def _is_latest_epoch(self, epoch: Epoch) -> bool:
@@ -215,7 +215,7 @@
         if known is not None and known.epoch >= leader.epoch:
             return
         self._leader = leader
-        self._news.set()
+        self._report_due.set()
 
     async def _find_leader(self) -> None:
         self._searches += 1
--- a/wagtailcleat/cluster/hosting.py
+++ b/wagtailcleat/cluster/hosting.py
@@ -133,7 +133,7 @@
         self._zone_out = zone_out
         self._on_change = on_change
         self._incarnation: _WorkerIncarnation | None = None
-        self._sequence = -1
+        self._last_sequence = -1
         self._worker_known = asyncio.Event()
         self._listed = asyncio.Condition()
         self._work: set[asyncio.Task[None]] = set()
@@ -196,20 +196,20 @@
                 extra={"worker": worker.id},
             )
             return
-        new = incarnation is None or (worker.born, worker.id) != (
+        is_new = incarnation is None or (worker.born, worker.id) != (
             incarnation.born,
             incarnation.instance,
         )
-        if not new and heartbeat.sequence <= self._sequence:
+        if not is_new and heartbeat.sequence <= self._last_sequence:
             return
-        self._sequence = heartbeat.sequence
+        self._last_sequence = heartbeat.sequence
         if self.info is None or worker.state is not self.info.state:
             log.info("Worker", extra={"worker": worker.id, "state": worker.state.value})
         changed = self.info is None or worker.state is not self.info.state
         self.info = worker
-        if new:
+        if is_new:
             self._begin_incarnation(heartbeat)
-        if changed or new:
+        if changed or is_new:
             self._on_change()
 
     async def leave(self, instance: str, born: int) -> None:
@@ -427,7 +427,7 @@
         log.info("Run did not start", extra={"run": str(key), "why": why.value})
         self._on_change()
 
-    def _startable(self) -> bool:
+    def _can_start(self) -> bool:
         info = self.info
         return (
             info is not None
@@ -442,7 +442,7 @@
             incarnation is None
             or not incarnation.lists_answered
             or incarnation.runs_lost
-            or not self._startable()
+            or not self._can_start()
         ):
             self._refuse(start.key, Refusal.NOT_ALLOWED)
             return
--- a/wagtailcleat/cluster/jobs.py
+++ b/wagtailcleat/cluster/jobs.py
@@ -108,8 +108,8 @@
             )
             # An earlier leader may have started it at an agent that has not reported.
             entry.settled = not self._scheduler.unheard
-        alone_from = self._lease.predecessors_expired_revision
-        if alone_from is not None and revision > alone_from:
+        expired_revision = self._lease.predecessors_expired_revision
+        if expired_revision is not None and revision > expired_revision:
             entry.settled = True
         return entry
 
--- a/wagtailcleat/cluster/leader_lease.py
+++ b/wagtailcleat/cluster/leader_lease.py
@@ -36,7 +36,7 @@
     stepped_down: asyncio.Event = field(default_factory=asyncio.Event)
     """Set once this leader has given up the lease."""
 
-    def renewed(self, sent_at: float, seconds: float) -> None:
+    def extend(self, sent_at: float, seconds: float) -> None:
         """Extend the lease: a renewal sent at `sent_at` is valid for `seconds`."""
         if seconds > 0:
             self.renewed_at = max(self.renewed_at, sent_at)
--- a/wagtailcleat/cluster/leadership.py
+++ b/wagtailcleat/cluster/leadership.py
@@ -110,6 +110,7 @@
         self.leader = NO_LEADER
         self.lease: LeaderLease | None = None
         self.changes = 0
+        """How often this entry has become leader."""
         self.may_claim = True
         self._identity = identity
         self._own_info = own_info
--- a/wagtailcleat/cluster/lease_renewer.py
+++ b/wagtailcleat/cluster/lease_renewer.py
@@ -130,7 +130,7 @@
         )
         if isinstance(outcome, Written):
             lease.heartbeat_revision = outcome.store_revision
-            lease.renewed(sent_at, LEADER_LEASE_SECONDS)
+            lease.extend(sent_at, LEADER_LEASE_SECONDS)
             if predecessors_expired and lease.predecessors_expired_revision is None:
                 lease.predecessors_expired_revision = outcome.store_revision
             return True
@@ -161,7 +161,7 @@
         shortest = min(
             (promise.seconds for promise in promises), default=LEADER_LEASE_SECONDS
         )
-        lease.renewed(sent_at, shortest)
+        lease.extend(sent_at, shortest)
 
     async def _collect_promises(
         self, lease: LeaderLease, other_entries: list[ProcessInfo], sent_at: float
--- a/wagtailcleat/cluster/operator_watch.py
+++ b/wagtailcleat/cluster/operator_watch.py
@@ -70,7 +70,7 @@
             if isinstance(changes, Changes):
                 self.heard_at = boot_time()
                 for event in changes.events:
-                    self._take(event.key, event.value)
+                    self._apply(event.key, event.value)
                 self._revision = max(self._revision, changes.store_revision)
                 if changes.events:
                     self._on_change()
@@ -88,28 +88,28 @@
         self._set_zones(frozenset(zone for zone in zones if zone is not None))
         for found in listing.found:
             if found.key == CONFIGURATION_KEY:
-                self._take_configuration(found.value)
+                self._apply_configuration(found.value)
         self._revision = listing.store_revision
         self.known = True
         self.heard_at = boot_time()
         self._on_change()
         return True
 
-    def _take(self, key: str, value: bytes | None) -> None:
+    def _apply(self, key: str, value: bytes | None) -> None:
         zone = zone_out(key)
         if zone is not None and value is None:
             self._set_zones(self.zones_out - {zone})
         elif zone is not None:
             self._set_zones(self.zones_out | {zone})
         elif key == CONFIGURATION_KEY and value is not None:
-            self._take_configuration(value)
+            self._apply_configuration(value)
 
     def _set_zones(self, zones: frozenset[ZoneName]) -> None:
         if zones != self.zones_out:
             log.info("Zones taken out", extra={"zones": sorted(zones)})
         self.zones_out = zones
 
-    def _take_configuration(self, value: bytes) -> None:
+    def _apply_configuration(self, value: bytes) -> None:
         try:
             table = decode_configuration(value)
         except BodyError as error:
--- a/wagtailcleat/cluster/program.py
+++ b/wagtailcleat/cluster/program.py
@@ -218,14 +218,14 @@
             "peer_port": settings.peer_port,
         },
     )
-    await _until_told_to_stop(program)
+    await _wait_for_stop(program)
     log.info("Stops")
     await program.stop()
     log.info("Stopped")
     return EXIT_OK
 
 
-async def _until_told_to_stop(program: Program) -> None:
+async def _wait_for_stop(program: Program) -> None:
     requested = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/wagtailcleat/cluster/records.py
+++ b/wagtailcleat/cluster/records.py
@@ -171,13 +171,13 @@
         new = [vm for vm in vms if vm.node not in self.registered]
         for first in range(0, len(new), AGENTS_PER_WRITE):
             batch = new[first : first + AGENTS_PER_WRITE]
-            places = {
+            value_by_key = {
                 agent_key(vm.node): encode(ProcessInfo(vm.host, vm.port, 0))
                 for vm in batch
             }
             nodes = [vm.node for vm in batch]
             outcome = await self._store.write(
-                Txn(self._agents_unchanged(nodes), places)
+                Txn(self._agents_unchanged(nodes), value_by_key)
             )
             self._update_agent_revisions(nodes, outcome, registered=True)
             if isinstance(outcome, Written):
--- a/wagtailcleat/cluster/submissions.py
+++ b/wagtailcleat/cluster/submissions.py
@@ -144,7 +144,7 @@
             outcome = await self.store(job, value)
         if outcome is Acceptance.ACCEPTED or self._leadership.leads:
             return outcome
-        answer = await self._call(StoreJob(job, value))
+        answer = await self._call_leader(StoreJob(job, value))
         if isinstance(answer, JobStored):
             relayed = Acceptance(answer.outcome)
         else:
@@ -180,9 +180,9 @@
         if own_leader is not None:
             await own_leader.submitted(message)
             return
-        await self._call(message)
+        await self._call_leader(message)
 
-    async def _call(
+    async def _call_leader(
         self, message: AnyMessage, timeout: float = LEADER_TIMEOUT_SECONDS
     ) -> AnyMessage | Lost:
         leader = self._leadership.leader
@@ -194,16 +194,16 @@
 
     async def state(self, job: JobId) -> JobState | NoSuchJob | NotAnswered:
         """Return a job's state, from the leader or else from the store."""
-        answer = await self._ask(ShowState(job))
+        answer = await self._ask_leader(ShowState(job))
         if isinstance(answer, StateShown) and answer.state:
             return JobState(answer.state)
         return await self._stored_state(job)
 
-    async def _ask(self, message: ShowState) -> AnyMessage | Lost:
+    async def _ask_leader(self, message: ShowState) -> AnyMessage | Lost:
         own_leader = self._leader()
         if own_leader is not None and own_leader.ready:
             return own_leader.state(message)
-        return await self._call(message)
+        return await self._call_leader(message)
 
     async def _stored_state(self, job: JobId) -> JobState | NoSuchJob | NotAnswered:
         record = await self._store.get(record_key(job))
@@ -224,16 +224,18 @@
         Parameters: `deadline` in seconds on this process's clock.
         """
         own_leader = self._leader()
-        left = max(
+        remaining = max(
             0.1,
             min(
                 CANCEL_TIMEOUT_SECONDS, deadline - self._clock() - ANSWER_MARGIN_SECONDS
             ),
         )
         if own_leader is not None and own_leader.ready:
-            answer: AnyMessage | Lost = await own_leader.cancel(CancelSteps(job), left)
+            answer: AnyMessage | Lost = await own_leader.cancel(
+                CancelSteps(job), remaining
+            )
         else:
-            answer = await self._call(CancelSteps(job), left)
+            answer = await self._call_leader(CancelSteps(job), remaining)
         if isinstance(answer, StateShown) and answer.state:
             return JobState(answer.state)
         return await self._cancel_in_store(job)
@@ -257,5 +259,5 @@
         own_leader = self._leader()
         if own_leader is not None and own_leader.ready:
             return own_leader.waiting(CountWaiting(queue)).count
-        answer = await self._call(CountWaiting(queue))
+        answer = await self._call_leader(CountWaiting(queue))
         return answer.count if isinstance(answer, Waiting) else NotAnswered()
