--- a/features/steps/takeover_corner_steps.py
+++ b/features/steps/takeover_corner_steps.py
@@ -93,12 +93,12 @@
     for entry in world.entries:
         entry.kill()
     context.old_leader = restarted = world.restart(context.old_leader)
-    restarted.leadership._others.read = _never_read
+    restarted.leadership._other_entries.read = _never_read
     world.until(lambda: restarted in world.leading(), TIMEOUT_SECONDS, "it leads again")
     restarted.store.reachable = False
     hosts = {restarted.host}
     world.network.partitions.append((hosts, LinkState.REFUSED))
-    restarted.leadership._others._place_by_address.clear()
+    restarted.leadership._other_entries._entry_by_address.clear()
 
 
 async def _never_read():
--- a/features/steps/takeover_histories.py
+++ b/features/steps/takeover_histories.py
@@ -94,7 +94,7 @@
         if running := self.world.running():
             agent, key = self.random.choice(running)
             agent.worker.end(key, RunEnd.SUCCEEDED)
-            agent.following.news()
+            agent.following.report_soon()
 
     def _pick_processes(self) -> list:
         processes = [*self.world.entries, *self.world.agents]
@@ -157,7 +157,7 @@
             entry.spawn(self._stop(entry))
 
     async def _stop(self, entry: SimulatedEntry) -> None:
-        await entry.leadership.lay_down()
+        await entry.leadership.step_down()
         if self.random.random() < 0.5:
             entry.is_listening = False
         await asyncio.sleep(self.random.uniform(0, 2.0))
--- a/features/steps/takeover_steps.py
+++ b/features/steps/takeover_steps.py
@@ -11,7 +11,10 @@
 from features.steps.takeover_histories import play_histories
 from features.steps.takeover_world import LinkState, TakeoverWorld
 from wagtailcleat.cluster.keys import LEADER_KEY, decode, encode, job_key
-from wagtailcleat.cluster.timing import RENEW_EVERY, STEADY_SECONDS
+from wagtailcleat.cluster.timing import (
+    ESTABLISHED_LEADER_SECONDS,
+    RENEWAL_INTERVAL_SECONDS,
+)
 from wagtailcleat.storage import Txn
 from wagtailcleat.wire.scheduling import (
     KeepFollowing,
@@ -73,7 +76,7 @@
 @when("the leader resigns, and one entry acts on the hand-over late")
 def step_late_hand_over(context):
     # The leader waits 0.6 s for this entry's answer, and then asks the next entry.
-    first = context.old_leader.leadership._others.places()[0]
+    first = context.old_leader.leadership._other_entries.entries()[0]
     late = context.world.network.process_by_host[first.host]
     late.store.request_delay_seconds = 0.65
     world = context.world
@@ -86,7 +89,7 @@
     world.loop.call_later(
         0.6, lambda: setattr(late.store, "request_delay_seconds", 0.0)
     )
-    world.loop.create_task(context.old_leader.leadership.lay_down())
+    world.loop.create_task(context.old_leader.leadership.step_down())
 
 
 @when("the leader is killed, and the answer to the next claim takes {seconds:g} s")
@@ -131,7 +134,7 @@
 
 @when("the new leader resigns")
 def step_resigns(context):
-    context.world.loop.create_task(context.new_leader.leadership.lay_down())
+    context.world.loop.create_task(context.new_leader.leadership.step_down())
 
 
 @when("a job is stored and the old leader is told of it too")
@@ -148,7 +151,7 @@
 
 @given("it has led for long")
 def step_led_long(context):
-    context.world.wait(STEADY_SECONDS)
+    context.world.wait(ESTABLISHED_LEADER_SECONDS)
 
 
 @when("the leader is killed")
@@ -163,7 +166,7 @@
     found = world.keyspace.found_by_key[LEADER_KEY]
     host = decode(found.value, Leads).host
     context.claimant = world.network.process_by_host[host]
-    world.loop.create_task(context.claimant.leadership.lay_down())
+    world.loop.create_task(context.claimant.leadership.step_down())
     for entry in context.others:
         entry.store.answer_delay_seconds = 0.0
 
@@ -223,7 +226,7 @@
         lambda: "agent" in seen_by_kind, TIMEOUT_SECONDS, "an order is in transit"
     )
     _enlarge_other_agents(context, seen_by_kind["agent"])
-    world.loop.create_task(context.old_leader.leadership.lay_down())
+    world.loop.create_task(context.old_leader.leadership.step_down())
     world.until_led(but=context.old_leader)
     world.until(
         lambda: "report" in seen_by_kind,
@@ -261,7 +264,7 @@
     world.network.delay_message = delay_message
     context.job = world.submit()
     world.until(in_transit.is_set, TIMEOUT_SECONDS, "an order is in transit")
-    world.loop.create_task(context.old_leader.leadership.lay_down())
+    world.loop.create_task(context.old_leader.leadership.step_down())
     context.old_leader.is_listening = False
     world.until_led(but=context.old_leader)
     world.wait(0.5)
@@ -272,7 +275,7 @@
 def step_stop_messages_lost(context):
     hosts = _hosts([context.old_leader])
     context.world.network.partitions.append((hosts, LinkState.SILENT))
-    context.world.loop.create_task(context.old_leader.leadership.lay_down())
+    context.world.loop.create_task(context.old_leader.leadership.step_down())
 
 
 @when("the leader is cut off from the other entries and the store, but not from agents")
@@ -419,14 +422,14 @@
     world = context.world
     ends_at = world.clock() + seconds
     # Its last renewal may be up to one renewal interval old.
-    ends_at -= RENEW_EVERY
+    ends_at -= RENEWAL_INTERVAL_SECONDS
     while world.clock() < ends_at:
         assert world.leading() == [context.old_leader], world.leading()
         world.wait(0.05)
-    world.wait(RENEW_EVERY)
+    world.wait(RENEWAL_INTERVAL_SECONDS)
     for entry in world.entries:
         entry.store.reachable = True
-    world.wait(RENEW_EVERY * 2)
+    world.wait(RENEWAL_INTERVAL_SECONDS * 2)
     assert world.leading() == [context.old_leader], world.leading()
 
 
--- a/features/steps/takeover_world.py
+++ b/features/steps/takeover_world.py
@@ -22,13 +22,13 @@
 )
 from standins.virtual_time import VirtualLoop
 from wagtailcleat.cluster.following import Following
-from wagtailcleat.cluster.keys import JOB_PREFIX, Place, encode, job_key
+from wagtailcleat.cluster.keys import JOB_PREFIX, ProcessInfo, encode, job_key
 from wagtailcleat.cluster.leader import Leader
 from wagtailcleat.cluster.leadership import Leadership
 from wagtailcleat.cluster.timing import (
-    CLOCK_DRIFT,
-    RUN_HORIZON,
-    RUN_LEASE,
+    CLOCK_DRIFT_FACTOR,
+    RUN_CONTACT_LIMIT_SECONDS,
+    RUN_LEASE_SECONDS,
 )
 from wagtailcleat.scheduling.models import Refusal, RunEnd
 from wagtailcleat.storage import (
@@ -373,7 +373,7 @@
         self.leader: Leader | None = None
         self.leadership = Leadership(
             Identity(node, Role.ENTRY, self.incarnation, "s"),
-            Place(host, PORT, self.incarnation, weight),
+            ProcessInfo(host, PORT, self.incarnation, weight),
             store=self.store,
             peers=self.peers,
             clock=world.clock,
@@ -383,7 +383,7 @@
         leadership = self.leadership
         self.handlers = {
             WhoLeads: self.without_stream(leadership.who_leads),
-            Leads: self.without_stream(leadership.leads_now),
+            Leads: self.without_stream(leadership.leader_announced),
             KeepFollowing: self.without_stream(leadership.keep_following),
             TakeOver: self.without_stream(leadership.take_over),
             Report: self._report,
@@ -391,9 +391,9 @@
         }
         self.spawn(leadership.run())
 
-    async def _lead(self, office) -> None:
+    async def _lead(self, lease) -> None:
         self.leader = Leader(
-            office,
+            lease,
             store=self.store,
             peers=self.peers,
             leadership=self.leadership,
@@ -440,7 +440,7 @@
             on_orders=self._carry_out,
         )
         self.handlers = {
-            Leads: self.without_stream(self.following.leads_now),
+            Leads: self.without_stream(self.following.leader_announced),
             Orders: self._orders,
         }
         self.spawn(self.following.run())
@@ -473,13 +473,16 @@
             self.world.record_start(self, start.key)
         for key in orders.stops:
             self.worker.end(key, RunEnd.STOPPED)
-        self.following.news()
+        self.following.report_soon()
 
     def _extend_lease(self, now: float) -> None:
-        until = min(now + RUN_LEASE, self.following.contact_at + RUN_HORIZON)
+        until = min(
+            now + RUN_LEASE_SECONDS,
+            self.following.contact_at + RUN_CONTACT_LIMIT_SECONDS,
+        )
         if until > now:
             # The worker's clock is as slow as the allowed drift permits.
-            longest = now + (until - now) * CLOCK_DRIFT
+            longest = now + (until - now) * CLOCK_DRIFT_FACTOR
             self.lease_until = max(self.lease_until, longest)
 
     async def _renew_leases(self) -> None:
@@ -595,5 +598,5 @@
                 if self.clock() >= agent.lease_until:
                     for key in list(agent.worker.running):
                         agent.worker.end(key, RunEnd.LAPSED)
-                        agent.following.news()
+                        agent.following.report_soon()
             await asyncio.sleep(0.005)
--- a/wagtailcleat/cluster/jobs.py
+++ b/wagtailcleat/cluster/jobs.py
@@ -1,4 +1,7 @@
-"""The jobs as the store holds them, taken into the leader's book."""
+"""Read jobs and cancellations from the store and add them to the leader's jobs.
+
+Used by `leader`, for the jobs of one epoch.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -13,8 +16,8 @@
     job_key,
     record_key,
 )
-from wagtailcleat.cluster.office import Office
-from wagtailcleat.cluster.timing import JOBS_WAIT
+from wagtailcleat.cluster.leader_lease import LeaderLease
+from wagtailcleat.cluster.timing import JOBS_WATCH_SECONDS
 from wagtailcleat.ids import JobId
 from wagtailcleat.logs import part_logger
 from wagtailcleat.platform.keyvalue import KeyValueStore
@@ -33,16 +36,16 @@
 
 log = part_logger("leader")
 
-RETRY_SECONDS = 0.2
+RETRY_PAUSE_SECONDS = 0.2
 """Pause after a call to the store that failed."""
 
 
 class Jobs:
-    """What one epoch's leader learns of jobs, from the store and by message."""
+    """Adds stored and submitted jobs to the scheduler of one epoch's leader."""
 
     def __init__(
         self,
-        office: Office,
+        lease: LeaderLease,
         scheduler: Scheduler,
         *,
         store: KeyValueStore,
@@ -51,8 +54,12 @@
         on_change: Callable[[], None],
         on_cancel: Callable[[], None],
     ) -> None:
-        """Wire it; `on_change` is called with each key, `on_cancel` as a job ends."""
-        self._office = office
+        """Create it without any job.
+
+        Parameters: `on_change` is called after each key that changes a job,
+        `on_cancel` after each cancellation.
+        """
+        self._lease = lease
         self._scheduler = scheduler
         self._store = store
         self._clock = clock
@@ -60,18 +67,18 @@
         self._on_change = on_change
         self._on_cancel = on_cancel
         self._revision = 0
-        """Of the store, up to which all is taken in."""
-        self._gone: set[JobId] = set()
-        """Jobs that the store does not have, although runs of them were listed."""
+        """Store revision up to which all changes have been applied."""
+        self._absent_jobs: set[JobId] = set()
+        """Jobs that are not in the store although agents have reported runs of them."""
 
     def __repr__(self) -> str:
-        """Show up to where the store is known."""
+        """Show the store revision that has been applied."""
         return f"<Jobs up to revision {self._revision}>"
 
     async def restore(self) -> None:
-        """Take in all jobs and what is stored of their progress."""
-        jobs = await listed(self._store, JOB_PREFIX, self._clock)
-        records = await listed(self._store, RECORD_PREFIX, self._clock)
+        """Read all jobs, their progress records and their cancellations."""
+        jobs = await list_until_answered(self._store, JOB_PREFIX, self._clock)
+        records = await list_until_answered(self._store, RECORD_PREFIX, self._clock)
         self._revision = jobs.store_revision
         found_by_key = {found.key: found for found in records.found}
         for found in jobs.found:
@@ -80,12 +87,16 @@
                 record = found_by_key.get(record_key(job))
                 self.add(job, found.value, found.mod_revision, record)
         for found in jobs.found:
-            self._take_key(found.key, found.value, found.mod_revision)
+            self._apply_key(found.key, found.value, found.mod_revision)
 
     def add(
         self, job: JobId, data: bytes, revision: int, record: Found | None = None
     ) -> JobEntry:
-        """Add a job that the store got at `revision`; 0 where that is not known."""
+        """Return the entry of a job, and add it first if it is new.
+
+        Parameters: `data` is the stored job; `revision` is the store revision that
+        wrote it, 0 if not known; `record` is its stored progress, if there is any.
+        """
         entry = self._scheduler.book.entry_by_id.get(job)
         if entry is None:
             entry = self._scheduler.book.add(
@@ -95,56 +106,59 @@
                 record=decode(record.value, JobRecord) if record else None,
                 store_revision=record.mod_revision if record else 0,
             )
-            # An earlier leader may have started it at an agent not heard of yet.
+            # An earlier leader may have started it at an agent that has not reported.
             entry.settled = not self._scheduler.unheard
-        alone_from = self._office.alone_revision
-        if alone_from is not None and revision > alone_from:
+        expired_revision = self._lease.predecessors_expired_revision
+        if expired_revision is not None and revision > expired_revision:
             entry.settled = True
         return entry
 
-    async def known(self, report: Report) -> bool:
-        """Learn of the jobs whose runs a report names; False if one is in doubt.
+    async def load_reported_jobs(self, report: Report) -> bool:
+        """Add the jobs whose runs a report names; return False if the store fails.
 
-        A leader before may have started a job that this one's watch has not told of
-        yet. Its runs would be stopped, and its ends acknowledged, as if of a job that
-        is gone: a task that has succeeded would run again, one that runs run twice.
+        An earlier leader may have started a job that the watch has not delivered yet.
+        If that job were taken for a deleted one, its runs would be stopped and its ends
+        acknowledged: a task that has succeeded would run again, and one that is running
+        would run twice.
         """
         keys = [running.key for running in report.running]
         keys += [ended.key for ended in report.ended] + report.unsettled
-        known = self._scheduler.book.entry_by_id
+        entry_by_id = self._scheduler.book.entry_by_id
         for job in {key.task.job for key in keys}:
-            if job in known or job in self._gone:
+            if job in entry_by_id or job in self._absent_jobs:
                 continue
-            # It was stored before it was started, so that the store has it by now.
+            # A job is stored before it is started, so the store has it by now.
             found = await self._store.get(job_key(job))
             if isinstance(found, Unavailable):
                 return False
             if isinstance(found, Absent):
-                self._gone.add(job)
+                self._absent_jobs.add(job)
                 continue
             self.add(job, found.value, found.mod_revision)
         return True
 
     async def watch(self) -> None:
-        """Take in what is stored, for ever."""
+        """Apply changes of stored jobs until cancelled."""
         while True:
             changes = await self._store.changes(
-                JOB_PREFIX, self._revision, wait_seconds=JOBS_WAIT
+                JOB_PREFIX, self._revision, wait_seconds=JOBS_WATCH_SECONDS
             )
             if isinstance(changes, Changes):
                 for event in changes.events:
                     if event.value is not None:
-                        self._take_key(event.key, event.value, event.mod_revision)
+                        self._apply_key(event.key, event.value, event.mod_revision)
                 self._revision = max(self._revision, changes.store_revision)
             elif isinstance(changes, HistoryGone):
-                listing = await listed(self._store, JOB_PREFIX, self._clock)
+                listing = await list_until_answered(
+                    self._store, JOB_PREFIX, self._clock
+                )
                 for found in listing.found:
-                    self._take_key(found.key, found.value, found.mod_revision)
+                    self._apply_key(found.key, found.value, found.mod_revision)
                 self._revision = listing.store_revision
             else:
-                await asyncio.sleep(RETRY_SECONDS)
+                await asyncio.sleep(RETRY_PAUSE_SECONDS)
 
-    def _take_key(self, key: str, value: bytes, revision: int) -> None:
+    def _apply_key(self, key: str, value: bytes, revision: int) -> None:
         if not key.endswith(CANCELLED):
             job = JobId(key.removeprefix(JOB_PREFIX))
             known = self._scheduler.book.entry_by_id.get(job)
@@ -158,8 +172,10 @@
         self._on_change()
 
 
-async def listed(store: KeyValueStore, prefix: str, clock: Clock) -> Listing:
-    """Return all keys under a prefix, once the store answers."""
+async def list_until_answered(
+    store: KeyValueStore, prefix: str, clock: Clock
+) -> Listing:
+    """Return all keys under a prefix; repeat the call until the store answers."""
     started_at = clock()
     for tries in count(1):
         listing = await store.list(prefix)
@@ -171,8 +187,11 @@
         if isinstance(listing, Listing):
             size = sum(len(found.value) for found in listing.found)
             fields |= {"keys": len(listing.found), "bytes": size}
-            log.info("Listed", extra=fields)
+            log.info("Listed keys", extra=fields)
             return listing
-        log.warning("Not listed yet", extra=fields | {"why": listing.reason})
-        await asyncio.sleep(RETRY_SECONDS)
-    raise AssertionError("counting has ended")
+        log.warning(
+            "Store did not list the keys; retrying",
+            extra=fields | {"why": listing.reason},
+        )
+        await asyncio.sleep(RETRY_PAUSE_SECONDS)
+    raise AssertionError("unreachable: the counter has no end")
