--- a/bench/batch.py
+++ b/bench/batch.py
@@ -22,8 +22,14 @@
 from standins.worker_tasks import State
 from wagtailcleat.agent.attempts import Attempts
 from wagtailcleat.agent.commitments import Commitments
-from wagtailcleat.agent.interference import Evict, Interference, Neighbour, Step, Tail
-from wagtailcleat.agent.neighbours import NeighbourWatch
+from wagtailcleat.agent.interference import (
+    Action,
+    Evict,
+    InterferenceController,
+    LatencySummary,
+    Neighbour,
+)
+from wagtailcleat.agent.neighbours import NeighbourMonitor
 from wagtailcleat.batch.learning import Learning
 from wagtailcleat.batch.owner import Owner
 from wagtailcleat.batch.record import TaskState
@@ -55,12 +61,14 @@
 Events = Callable[["World", float], None]
 
 
-class EvictFirst(Interference):
+class EvictFirst(InterferenceController):
     """The baseline: on a breach the largest neighbour goes, and nothing is learned."""
 
-    def step(self, tail_by_service: Any, neighbours: list[Neighbour]) -> list[Step]:
+    def step(
+        self, latency_by_service: Any, neighbours: list[Neighbour]
+    ) -> list[Action]:
         """Evict the largest neighbour of a service that is slow."""
-        slow = any(tail.breached for tail in tail_by_service.values())
+        slow = any(tail.breached for tail in latency_by_service.values())
         if not slow or not neighbours:
             return []
         self.evictions += 1
@@ -80,8 +88,10 @@
     """The baseline: nothing is done."""
 
     def step(
-        self, tail_by_service: dict[ServiceName, Tail], neighbours: list[Neighbour]
-    ) -> list[Step]:
+        self,
+        latency_by_service: dict[ServiceName, LatencySummary],
+        neighbours: list[Neighbour],
+    ) -> list[Action]:
         """Do nothing."""
         return []
 
@@ -95,7 +105,7 @@
 
 
 CONTROL_BY_NAME = {
-    Control.STEPS: Interference,
+    Control.STEPS: InterferenceController,
     Control.EVICT_FIRST: EvictFirst,
     Control.NONE: NoControl,
 }
@@ -109,7 +119,7 @@
     worker: WorkerModel
     attempts: Attempts
     commitments: Commitments
-    watch: NeighbourWatch
+    watch: NeighbourMonitor
     zone_out: bool = False
 
 
@@ -164,8 +174,8 @@
         parts: list[Any] = [self.owner.run(), self._feed()]
         for agent in self.agent_by_vm.values():
             attempts = agent.attempts
-            parts += [agent.worker.tick(), agent.watch.run(), attempts.rebuild()]
-            parts += [attempts.watch(), attempts.renew()]
+            parts += [agent.worker.tick(), agent.watch.run(), attempts.recover()]
+            parts += [attempts.monitor(), attempts.renew()]
         return [asyncio.create_task(part) for part in parts]
 
     def zones_out(self, *zones: str) -> None:
@@ -219,12 +229,12 @@
             incarnation=agent.member.incarnation,
             clock=clock,
             timing=TIMING,
-            closed=why,
-            must_leave=why,
+            closed_reason=why,
+            evict_all_reason=why,
             read_epoch=read_epoch,
         )
         control = CONTROL_BY_NAME[self.policy.control]()
-        watch = NeighbourWatch(
+        watch = NeighbourMonitor(
             control,
             attempts,
             commitments,
@@ -428,7 +438,7 @@
         "tasks_done": sum(t.count_by_state.get(TaskState.SUCCEEDED, 0) for t in totals),
         "evictions": sum(total.evictions for total in totals),
         "starts": sum(agent.worker.started for agent in agents),
-        "throttles": sum(a.watch.control.throttles for a in agents),
+        "throttles": sum(a.watch.controller.throttles for a in agents),
         "overuse_share": sum(a.worker.overuse_seconds for a in agents)
         / (len(world.agent_by_vm) * world.clock()),
         "refused_jobs": world.refused_jobs,
--- a/bench/deployment.py
+++ b/bench/deployment.py
@@ -227,7 +227,7 @@
         incarnation=member.incarnation,
         clock=made.clock,
         timing=made.timing,
-        closed=lambda: agent.closed_because,
+        closed_reason=lambda: agent.closed_because,
         close_older=lambda _: None,
         max_answer_bytes=1 << 20,
         kept_answer_bytes=32 << 20,
--- a/bench/fakes.py
+++ b/bench/fakes.py
@@ -60,7 +60,7 @@
             return EndpointFailed(True, "no answer in time")
         return EndpointAnswer(status, [], b"")
 
-    async def answers(self) -> bool:
+    async def accepts_connections(self) -> bool:
         """Tell that connections are taken."""
         return True
 
--- a/features/steps/bench_steps.py
+++ b/features/steps/bench_steps.py
@@ -14,9 +14,9 @@
 from standins.processes import ROOT
 from wagtailcleat.agent.interference import (
     Evict,
-    Interference,
+    InterferenceController,
+    LatencySummary,
     Neighbour,
-    Tail,
     Throttle,
 )
 from wagtailcleat.batch.learning import MIN_SAMPLES, Learning, Sample
@@ -120,19 +120,19 @@
 
 def neighbours(*classes):
     return [
-        Neighbour(AttemptId(f"{name}/{index}"), name, cores=6.0, used=6.0)
+        Neighbour(AttemptId(f"{name}/{index}"), name, cores=6.0, used_cores=6.0)
         for index, name in enumerate(classes)
     ]
 
 
 def tail(median, over=0, count=ANSWERS):
-    return {SERVICE: Tail(count, over, median)}
+    return {SERVICE: LatencySummary(count, over, median)}
 
 
 @given("a VM with a service of {ms:d} ms, and no neighbours for {count:d} intervals")
 def step_vm(context, ms, count):
     context.median = ms / 1000
-    context.control = Interference()
+    context.control = InterferenceController()
     context.beside = []
     context.steps = []
     for _ in range(count):
@@ -151,7 +151,7 @@
     joined = neighbours(name, name)
     context.now_median = 2 * context.median
     # The usage lags: the first interval beside them shows no use of theirs yet.
-    unseen = [replace(neighbour, used=0.0) for neighbour in joined]
+    unseen = [replace(neighbour, used_cores=0.0) for neighbour in joined]
     seen = tail(context.now_median, over=20)
     context.steps += context.control.step(seen, [*context.beside, *unseen])
     context.beside = [*context.beside, *joined]
--- a/wagtailcleat/agent/__init__.py
+++ b/wagtailcleat/agent/__init__.py
@@ -1,4 +1,5 @@
-"""The program beside each endpoint VM: `app` wires it.
+"""The agent: the process that runs on each endpoint VM; `app` is its entry point.
 
-It runs the VM's service requests and batch attempts, and owns a share of the shards.
+It passes service requests to the endpoints of its VM, runs batch attempts through the
+worker, and owns a share of the job shards.
 """
--- a/wagtailcleat/agent/app.py
+++ b/wagtailcleat/agent/app.py
@@ -1,4 +1,4 @@
-"""`wagtailcleat-agent`: the composition root of the program beside an endpoint."""
+"""`wagtailcleat-agent`: composition root of the agent, one on each endpoint VM."""
 
 import asyncio
 from pathlib import Path
@@ -9,10 +9,10 @@
 
 from wagtailcleat.agent.attempts import Attempts
 from wagtailcleat.agent.commitments import Commitments
-from wagtailcleat.agent.departure import announce_leave, flush_answers
-from wagtailcleat.agent.interference import Interference
+from wagtailcleat.agent.graceful_shutdown import announce_leave, flush_answers
+from wagtailcleat.agent.interference import InterferenceController
 from wagtailcleat.agent.metrics import add_agent_metrics, by_resource
-from wagtailcleat.agent.neighbours import NeighbourWatch
+from wagtailcleat.agent.neighbours import NeighbourMonitor
 from wagtailcleat.agent.services import Services
 from wagtailcleat.agent.shard_hosting import ShardHosting
 from wagtailcleat.agent.state_server import state_application
@@ -39,7 +39,7 @@
 
 
 class Agent:
-    """One running agent: its VM's services and attempts, and a share of shards."""
+    """One agent process: its VM's services and attempts, and the shards it owns."""
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         clock: Clock = boot_time,
         wall_clock: Clock = wall_time,
     ) -> None:
-        """Wire everything; nothing runs yet."""
+        """Create and connect all parts; `start` runs them."""
         self.commitments = Commitments()
         self.leaving = False
         self.node: Node = make_node(
@@ -68,7 +68,7 @@
             incarnation=node.view.me.incarnation,
             clock=node.clock,
             timing=settings.timing,
-            closed=self.closed,
+            closed_reason=self.closed_reason,
             close_older=node.listener.close_older,
             max_answer_bytes=settings.max_answer_bytes,
             kept_answer_bytes=settings.kept_answer_bytes,
@@ -82,19 +82,19 @@
             incarnation=node.view.me.incarnation,
             clock=node.clock,
             timing=settings.timing,
-            closed=self.closed,
-            must_leave=self.must_leave,
+            closed_reason=self.closed_reason,
+            evict_all_reason=self.evict_all_reason,
             read_epoch=lambda shard: read_epoch(node.store, shard),
         )
-        self.neighbours = NeighbourWatch(
-            Interference(),
+        self.neighbours = NeighbourMonitor(
+            InterferenceController(),
             self.attempts,
             self.commitments,
             self.services,
             self.worker,
         )
         self._shards = ShardHosting(
-            node, settings, wall_clock=wall_clock, closed=self.closed
+            node, settings, wall_clock=wall_clock, closed_reason=self.closed_reason
         )
         self.ownership = self._shards.ownership
         node.dispatch.add(self.services.handlers())
@@ -103,23 +103,23 @@
         node.gossiper.on_configuration(self._apply_configuration)
         self._add_sections()
 
-    def closed(self) -> str:
-        """Return why nothing new starts here now; empty where it may."""
+    def closed_reason(self) -> str:
+        """Return why no new request, task or shard is accepted; empty if they are."""
         if self.leaving:
             return "the agent leaves"
         if not self.node.fresh():
             return "this process was paused and is hearing its peers anew"
-        return self.must_leave()
+        return self.evict_all_reason()
 
-    def must_leave(self) -> str:
-        """Return why tasks that run here may not stay; empty where they may."""
+    def evict_all_reason(self) -> str:
+        """Return why all running tasks must be evicted; empty if they may stay."""
         zone = ZoneName(self._settings.zone)
         if zone_is_out(self.node.in_force.configuration, zone):
             return f"availability zone '{zone}' is out of service"
         return ""
 
     def start(self) -> dict[str, int]:
-        """Serve; return the ports."""
+        """Start all background tasks and servers; return the listening ports."""
         node = self.node
         server = HTTPServer(state_application(node.introspection))
         sockets = bind(self._settings.host, self._settings.http_port)
@@ -135,18 +135,22 @@
         return {"peer_port": node.view.me.port, "http_port": bound_port(sockets)}
 
     async def stop(self) -> None:
-        """Announce the leave, finish requests, evict tasks, give shards up, end."""
+        """Shut down gracefully within the drain timeout and the notice to entries.
+
+        Announce the leave, finish service requests, evict tasks, release the shards,
+        deliver the outstanding answers, and close everything.
+        """
         self.leaving = True
-        self.services.note_closed()
-        log.info("Leaving")
+        self.services.record_closing()
+        log.info("Agent is shutting down")
         timing = self._settings.timing
         stay_until = await announce_leave(self.node, timing)
         try:
             async with asyncio.timeout(timing.drain):
-                await self.services.drained()
+                await self.services.drain()
                 await self.attempts.drain("its VM is being replaced")
         except TimeoutError:
-            log.warning("Not everything was drained in time")
+            log.warning("Agent did not drain within the drain timeout")
         await self.ownership.give_up()
         await asyncio.sleep(stay_until - self.node.clock())
         await flush_answers(self.node)
@@ -165,16 +169,16 @@
 
     async def _check_services(self) -> None:
         while True:
-            await self.services.check()
+            await self.services.check_endpoints()
             serving = sorted(self.services.answering)
             if serving != sorted(self.node.view.me.services):
                 await self.node.change_me(services=serving)
             await asyncio.sleep(self._settings.timing.endpoint_check)
 
     async def _run_attempts(self) -> None:
-        # Grants of recovered tasks may be short: they are renewed from the start.
+        # Grants of recovered tasks may expire soon, so renewal runs during recovery.
         attempts = self.attempts
-        await asyncio.gather(attempts.rebuild(), attempts.watch(), attempts.renew())
+        await asyncio.gather(attempts.recover(), attempts.monitor(), attempts.renew())
 
     def _apply_configuration(self) -> None:
         configuration = self.node.in_force.configuration
@@ -183,14 +187,14 @@
         if on_vm is None:
             self.services.configure([])
             commitments.capacity, commitments.for_services = NOTHING, NOTHING
-            commitments.known = configuration.revision > 0
+            commitments.is_known = configuration.revision > 0
         else:
             self.services.configure(on_vm.services)
             commitments.for_services = on_vm.for_services
             if self._worker_capacity is not None:
                 capacity = on_vm.vm.capacity.smaller(self._worker_capacity)
                 commitments.capacity = capacity
-                commitments.known = True
+                commitments.is_known = True
         self.attempts.request_poll()
 
     def _free(self) -> Resources:
@@ -199,7 +203,7 @@
     def _add_sections(self) -> None:
         add = self.node.introspection.add
         add("vm", lambda: self._settings.vm)
-        add("closed", self.closed)
+        add("closed", self.closed_reason)
         add("requests_in_flight", lambda: self.services.in_flight)
         add("tasks_running", lambda: len(self.attempts.running()))
         add("free", lambda: by_resource(self._free()))
@@ -215,7 +219,7 @@
             self.attempts,
             self.commitments,
             self.ownership,
-            self.neighbours.control,
+            self.neighbours.controller,
             self.node.clock,
         )
 
@@ -226,12 +230,12 @@
     settings: Annotated[Path, cyclopts.Parameter(help="Settings file, JSON.")],
     check: Annotated[bool, cyclopts.Parameter(help="Only check the settings.")] = False,
 ) -> int:
-    """Serve beside an endpoint: its requests, its VM's tasks, a share of shards."""
+    """Serve requests and run tasks on one endpoint VM; own a share of the shards."""
     return run_daemon(settings, AgentSettings, Agent, check=check)
 
 
 def main() -> None:
-    """Run the program."""
+    """Run the command line."""
     run_program(app)
 
 
--- a/wagtailcleat/agent/attempt_handlers.py
+++ b/wagtailcleat/agent/attempt_handlers.py
@@ -1,4 +1,7 @@
-"""Answers shard owners' messages: reserve, start, release, adopt and evict."""
+"""Handles the messages of shard owners: reserve, start, release, adopt and evict.
+
+The agent's dispatcher calls these handlers; `Attempts` registers them.
+"""
 
 from collections.abc import Callable
 
@@ -23,17 +26,20 @@
 INCOMPLETE = "still listing what runs here"
 NEWER_OWNER = "a newer owner is known here"
 
-Refuses = Callable[[str, Resources], str]
-"""Tells why a task of a job class and size is not taken; empty where it is."""
-Penalty = Callable[[str, float | None], float | None]
-"""Tells how much a core of a job class slows the services here down, if known.
+RefusalCheck = Callable[[str, Resources], str]
+"""Returns why a task of a job class and size is refused; empty if it is not."""
+PenaltyEstimate = Callable[[str, float | None], float | None]
+"""Returns the slowdown of this VM's services per core of a job class, if known.
 
 Its second argument is the owner's estimate.
 """
 
 
 class AttemptHandlers:
-    """Applies owners' messages to the table of attempts and the worker."""
+    """Applies owners' messages to the attempt table and the worker.
+
+    `ShardOwners` decides whether the sender of a message is the current owner.
+    """
 
     def __init__(
         self,
@@ -45,14 +51,15 @@
         vm: VmName,
         incarnation: Incarnation,
         timing: Timing,
-        closed: Callable[[], str],
+        closed_reason: Callable[[], str],
     ) -> None:
         """Start tasks on `worker` for the owners that `owners` accepts.
 
-        Parameters: `closed` tells why no task may start now, or is empty.
+        Parameters: `closed_reason` returns why no task may start now, or an empty
+        string.
         """
-        self.refuses: Refuses = lambda job_class, size: ""
-        self.penalty: Penalty = lambda job_class, estimate: estimate
+        self.refusal_reason: RefusalCheck = lambda job_class, size: ""
+        self.penalty: PenaltyEstimate = lambda job_class, estimate: estimate
         self._table = table
         self._owners = owners
         self._evictor = evictor
@@ -60,10 +67,10 @@
         self._vm = vm
         self._incarnation = incarnation
         self._timing = timing
-        self._closed = closed
+        self._closed_reason = closed_reason
 
     def by_message(self) -> Handlers:
-        """Return the handler of each message."""
+        """Return the handlers by message class."""
         return {
             Reserve: self._on_reserve,
             Start: self._on_start,
@@ -78,14 +85,14 @@
         assert isinstance(message, Reserve)
         table, commitments = self._table, self._table.commitments
         now = table.clock()
-        reason = self._why_no_reservation(message, stream, now)
+        reason = self._reservation_refusal(message, stream, now)
         penalty = self.penalty(message.job_class, message.penalty)
         if not reason and not message.urgent:
-            reason = self.refuses(message.job_class, message.size)
+            reason = self.refusal_reason(message.job_class, message.size)
         if reason:
             return NoRoom(reason, commitments.free(now), penalty)
         if message.urgent:
-            await self._evictor.make_room(message.size)
+            await self._evictor.preempt(message.size)
             now = table.clock()
         seconds = self._timing.reservation
         if not table.reserve(message, until=now + seconds, now=now):
@@ -97,8 +104,8 @@
     ) -> AnyMessage:
         assert isinstance(message, Start)
         table = self._table
-        if not table.complete:
-            # An earlier process of this agent may have started it and died before
+        if not table.is_complete:
+            # A previous incarnation may have started the attempt and crashed before
             # it answered.
             return _incomplete()
         attempt = table.attempt_by_id.get(message.attempt)
@@ -107,23 +114,24 @@
         if attempt is not None and attempt.phase is not Phase.RESERVED:
             return Done()
         now = table.clock()
-        reason = self._why_closed(message.shard, message.epoch, stream)
+        reason = self._message_refusal(message.shard, message.epoch, stream)
         if attempt is None or now > attempt.reserved_until:
             reason = reason or "its reservation has lapsed"
         if reason or attempt is None:
             return table.discard(message.attempt, message.shard, reason)
-        if not table.commitments.take(message.attempt, now):
+        if not table.commitments.confirm(message.attempt, now):
             return table.discard(message.attempt, message.shard, "no room is held")
         attempt.phase = Phase.STARTING
-        attempt.since = now
+        attempt.phase_since = now
         return await self._start(attempt, message)
 
     async def _start(self, attempt: Attempt, message: Start) -> AnyMessage:
-        # The reservation was made before the assignment was committed, and the
-        # worker refuses a lease that has lapsed. So a start can't happen later
-        # than a reservation's length after the commit, even if a process is paused;
-        # and no commit places a task in a zone after the zone was taken out.
-        size = self._table.commitments.held_by_attempt[attempt.id].size
+        # The lease of the start ends with the reservation, which was made before the
+        # assignment was committed, and the worker refuses an expired lease. A start
+        # therefore cannot happen later than one reservation length after the commit,
+        # even if a process is paused in between. No commit places a task in a zone
+        # that was taken out before.
+        size = self._table.commitments.allocation_by_attempt[attempt.id].size
         reserved_at = attempt.reserved_until - self._timing.reservation
         attempt.grant_until = reserved_at + message.grant
         task = await self._worker.start(
@@ -137,13 +145,13 @@
             reason = f"worker: {task.code}"
             return self._table.discard(attempt.id, attempt.shard, reason)
         if isinstance(task, WorkerUnreachable):
-            # Whether it runs shows in the worker's list.
+            # The next poll of the worker's task list shows whether the task runs.
             return Refused(Code.OUTCOME_UNKNOWN.value, task.reason)
         if attempt.report is not None:
-            # A poll saw it running, and it was evicted before the worker answered.
+            # A poll found the task running and it was evicted before this answer came.
             return attempt.report
         attempt.phase = Phase.RUNNING
-        attempt.since = self._table.clock()
+        attempt.phase_since = self._table.clock()
         await self._worker.renew({attempt.id: attempt.grant_until})
         return Done()
 
@@ -160,7 +168,7 @@
         self, stream: Stream, message: AnyMessage, outlet: Outlet
     ) -> AnyMessage:
         assert isinstance(message, Adopt)
-        if not self._table.complete:
+        if not self._table.is_complete:
             return _incomplete()
         if not self._owners.accept(message.shard, message.epoch, stream.peer):
             return Refused(Code.CONFLICT.value, NEWER_OWNER)
@@ -183,19 +191,19 @@
         await self._evictor.evict(attempt, message.reason)
         return Done()
 
-    def _why_no_reservation(self, message: Reserve, stream: Stream, now: float) -> str:
-        reason = self._why_closed(message.shard, message.epoch, stream)
-        reason = reason or self._table.why_unhealthy(job_of(message.attempt), now)
-        if self._table.seen(message.attempt):
+    def _reservation_refusal(self, message: Reserve, stream: Stream, now: float) -> str:
+        reason = self._message_refusal(message.shard, message.epoch, stream)
+        reason = reason or self._table.unhealthy_reason(job_of(message.attempt), now)
+        if self._table.has_seen(message.attempt):
             reason = reason or "asked for here before"
         return reason
 
-    def _why_closed(self, shard: ShardId, epoch: Epoch, stream: Stream) -> str:
-        if not self._table.complete:
+    def _message_refusal(self, shard: ShardId, epoch: Epoch, stream: Stream) -> str:
+        if not self._table.is_complete:
             return INCOMPLETE
         if not self._owners.accept(shard, epoch, stream.peer):
             return NEWER_OWNER
-        return self._closed()
+        return self._closed_reason()
 
 
 def _incomplete() -> Refused:
--- a/wagtailcleat/agent/attempt_recovery.py
+++ b/wagtailcleat/agent/attempt_recovery.py
@@ -1,4 +1,4 @@
-"""Recovers the attempts of an earlier process of this agent from the worker."""
+"""Rebuilds the attempt table from the worker's task list after an agent restart."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -21,7 +21,7 @@
 
 
 class AttemptRecovery:
-    """Fills the table of attempts after a restart, and fences their shards."""
+    """Adopts the tasks of a previous incarnation and restores their shards' epochs."""
 
     def __init__(
         self,
@@ -34,7 +34,8 @@
     ) -> None:
         """Fill `table` with the tasks of `worker`.
 
-        Parameters: `read_epoch` reads a shard's epoch from the store.
+        Parameters: `read_epoch` reads a shard's epoch from the store, or returns
+        None if it can't.
         """
         self._table = table
         self._owners = owners
@@ -43,25 +44,26 @@
         self._read_epoch = read_epoch
 
     async def run(self) -> None:
-        """Adopt what the worker runs, and return once each epoch is known.
+        """Adopt the worker's tasks; return once the epoch of each shard is known.
 
-        An order that an earlier process of this agent sent to the worker may
-        arrive after the list was read. It carries a lease no longer than the
-        reservation, so the list is read again once that has passed.
+        A start that a previous incarnation sent may reach the worker after the task
+        list was read. Its lease is no longer than a reservation, so the list is read
+        a second time after that period.
         """
         await self._adopt_tasks()
         await asyncio.sleep(self._timing.reservation)
         await self._adopt_tasks()
-        self._table.complete = True
-        while self._owners.unfenced:
-            await self._fence()
+        self._table.is_complete = True
+        while self._owners.shards_without_epoch:
+            await self._restore_epochs()
             await asyncio.sleep(RETRY_SECONDS)
 
-    async def _fence(self) -> None:
-        # The earlier process of this agent may have accepted an order of a new owner,
-        # and with its memory the epoch is lost. An older owner that still grants
-        # must not renew what the new one may already have given to another VM.
-        for shard in list(self._owners.unfenced):
+    async def _restore_epochs(self) -> None:
+        # The previous incarnation may have accepted a message of a newer owner, and
+        # its memory of that epoch is lost. Without the epoch, an older owner that
+        # still grants could renew a task that the newer owner has already assigned to
+        # another VM.
+        for shard in list(self._owners.shards_without_epoch):
             epoch = await self._read_epoch(shard)
             if epoch is not None:
                 self._owners.accept(shard, epoch, None)
@@ -79,7 +81,7 @@
         table, shard = self._table, shard_of(task.attempt)
         attempt = Attempt(task.attempt, shard, Phase.RUNNING, table.clock())
         attempt.grant_until = task.lease_until
-        self._owners.require_epoch(shard)
+        self._owners.mark_epoch_unknown(shard)
         table.attempt_by_id[task.attempt] = attempt
         if task.state is TaskState.RUNNING:
             table.commitments.adopt(task.attempt, task.size)
--- a/wagtailcleat/agent/attempts.py
+++ b/wagtailcleat/agent/attempts.py
@@ -1,9 +1,13 @@
-"""The batch side of an agent: wires what reserves, starts, watches and reports."""
+"""Batch attempts of an agent: creates and connects the parts that run them."""
 
 import asyncio
 from collections.abc import Callable
 
-from wagtailcleat.agent.attempt_handlers import AttemptHandlers, Penalty, Refuses
+from wagtailcleat.agent.attempt_handlers import (
+    AttemptHandlers,
+    PenaltyEstimate,
+    RefusalCheck,
+)
 from wagtailcleat.agent.attempt_recovery import AttemptRecovery, ReadEpoch
 from wagtailcleat.agent.attempt_table import Attempt, AttemptTable
 from wagtailcleat.agent.commitments import Commitments
@@ -23,7 +27,7 @@
 
 
 class Attempts:
-    """All attempts at this VM, and the renewal of their grants."""
+    """All attempts on this VM, with their monitoring and grant renewal."""
 
     def __init__(
         self,
@@ -36,15 +40,15 @@
         incarnation: Incarnation,
         clock: Clock,
         timing: Timing,
-        closed: Callable[[], str],
-        must_leave: Callable[[], str],
+        closed_reason: Callable[[], str],
+        evict_all_reason: Callable[[], str],
         read_epoch: ReadEpoch,
     ) -> None:
         """Run attempts through `worker` within `commitments`.
 
-        Parameters: `closed` tells why no task may start now, or is empty, and
-        `must_leave` why those that run may not stay; `read_epoch` reads a shard's
-        epoch from the store.
+        Parameters: `closed_reason` returns why no task may start now, and
+        `evict_all_reason` why all running tasks must be evicted, both an empty string
+        if there is no reason; `read_epoch` reads a shard's epoch from the store.
         """
         table = AttemptTable(commitments, clock)
         owners = ShardOwners(view)
@@ -59,13 +63,13 @@
             vm=vm,
             incarnation=incarnation,
             timing=timing,
-            closed=closed,
+            closed_reason=closed_reason,
         )
         self._recovery = AttemptRecovery(
             table, owners, worker, timing=timing, read_epoch=read_epoch
         )
         self._monitor = TaskMonitor(
-            table, evictor, worker, timing=timing, must_leave=must_leave
+            table, evictor, worker, timing=timing, evict_all_reason=evict_all_reason
         )
         self._renewal = GrantRenewal(
             table,
@@ -81,53 +85,55 @@
 
     @property
     def attempt_by_id(self) -> dict[AttemptId, Attempt]:
-        """All attempts, from the reservation until the owner knows of the end."""
+        """Return the attempts from reservation until their end is acknowledged."""
         return self._table.attempt_by_id
 
     @property
     def ready(self) -> bool:
-        """Whether all that the worker may run has been listed; orders wait for it."""
-        return self._table.complete
+        """Return whether recovery has listed all tasks; owners are refused before."""
+        return self._table.is_complete
 
     def handlers(self) -> Handlers:
-        """Return what answers each message of this part."""
+        """Return the handlers of batch messages by message class."""
         return self._handlers.by_message()
 
     def running(self) -> list[Attempt]:
-        """Return the attempts that the worker runs, or may run."""
+        """Return the attempts that the worker runs or may be about to run."""
         return self._table.running()
 
     def dump(self) -> dict[str, object]:
-        """Return each attempt's state for the state dump."""
+        """Return the state of the attempts for the state dump."""
         return self._table.dump()
 
-    def limit_interference(self, refuses: Refuses, penalty: Penalty) -> None:
-        """Judge tasks by their interference with services, through these functions."""
-        self._handlers.refuses = refuses
+    def limit_interference(
+        self, refusal_reason: RefusalCheck, penalty: PenaltyEstimate
+    ) -> None:
+        """Refuse tasks by their interference with services, as the functions decide."""
+        self._handlers.refusal_reason = refusal_reason
         self._handlers.penalty = penalty
 
-    async def rebuild(self) -> None:
-        """Recover what the worker runs; until then no order is accepted."""
+    async def recover(self) -> None:
+        """Adopt the worker's tasks; messages of owners are refused until it is done."""
         await self._recovery.run()
 
-    async def watch(self) -> None:
-        """See what ended and stop what has no grant left, until cancelled."""
+    async def monitor(self) -> None:
+        """Record ends and evict attempts whose grant is ending, until cancelled."""
         await self._monitor.run()
 
     async def renew(self) -> None:
-        """Renew grants and report ends to each shard's owner, until cancelled."""
+        """Renew grants and report ends at each shard's owner, until cancelled."""
         await self._renewal.run()
 
     def request_poll(self) -> None:
-        """Poll the worker at once: the configuration changed."""
+        """Request a poll of the worker without delay, after a new configuration."""
         self._monitor.request_poll()
 
     async def evict(self, attempt: Attempt, reason: str) -> None:
-        """Checkpoint and stop an attempt; its end is then reported."""
+        """Checkpoint and stop an attempt; its end is reported to its owner later."""
         await self._evictor.evict(attempt, reason)
 
     async def drain(self, reason: str) -> None:
-        """Checkpoint and stop everything, and wait until owners know of it."""
+        """Evict all attempts; return once their owners have acknowledged the ends."""
         while self.attempt_by_id:
             await self._evictor.evict_all(reason)
             await self._monitor.poll()
--- a/wagtailcleat/agent/commitments.py
+++ b/wagtailcleat/agent/commitments.py
@@ -1,8 +1,8 @@
-"""What this VM has committed: the agent is the only authority over it.
+"""Resource accounting of this VM; the agent is the only authority over it.
 
-Room is taken by services, by reservations and by attempts, until the worker has
-said that an attempt ended. A reservation lapses by itself, so that an owner that
-died between asking and starting holds no room for ever.
+Services, reservations and attempts hold resources; an attempt holds them until the
+worker has reported its end. Reservations expire, so that an owner that crashes between
+reservation and start does not hold resources for ever.
 """
 
 from dataclasses import dataclass, field
@@ -12,8 +12,8 @@
 
 
 @dataclass
-class Held:
-    """Room held for an attempt; `until` is set while it is only reserved."""
+class Allocation:
+    """Resources of one attempt; `until` is the expiry of a reservation, else None."""
 
     size: Resources
     until: float | None
@@ -21,63 +21,66 @@
 
 @dataclass
 class Commitments:
-    """The VM's capacity and everything that takes of it.
+    """The capacity of the VM and its allocations; times are on the VM's clock.
 
-    `known` tells whether the capacity comes from a configuration and the worker;
-    until then nothing is taken on, and nothing that runs is evicted for it.
+    `is_known` is true once configuration and worker have given the capacity. Until
+    then no attempt is admitted, and none is evicted for lack of capacity.
     """
 
-    known: bool = False
+    is_known: bool = False
     capacity: Resources = NOTHING
     for_services: Resources = NOTHING
-    held_by_attempt: dict[AttemptId, Held] = field(default_factory=dict)
+    allocation_by_attempt: dict[AttemptId, Allocation] = field(default_factory=dict)
 
     def free(self, now: float) -> Resources:
-        """Return what is left for new attempts."""
+        """Return the resources left for new attempts, negative if overcommitted."""
         self._expire(now)
         left = self.capacity - self.for_services
-        for held in self.held_by_attempt.values():
-            left = left - held.size
+        for allocation in self.allocation_by_attempt.values():
+            left = left - allocation.size
         return left
 
     def reserve(
         self, attempt: AttemptId, size: Resources, *, until: float, now: float
     ) -> bool:
-        """Hold room until the time given; the same attempt twice is one hold."""
+        """Reserve resources until `until`; return whether enough are free.
+
+        A repeated call for the same attempt changes nothing.
+        """
         self._expire(now)
-        if attempt in self.held_by_attempt:
+        if attempt in self.allocation_by_attempt:
             return True
         if not size.fits(self.free(now)):
             return False
-        self.held_by_attempt[attempt] = Held(size, until)
+        self.allocation_by_attempt[attempt] = Allocation(size, until)
         return True
 
-    def take(self, attempt: AttemptId, now: float) -> bool:
-        """Turn a reservation into a lasting hold, if it has not lapsed."""
+    def confirm(self, attempt: AttemptId, now: float) -> bool:
+        """Make a reservation permanent; return whether it had not expired."""
         self._expire(now)
-        held = self.held_by_attempt.get(attempt)
-        if held is None:
+        allocation = self.allocation_by_attempt.get(attempt)
+        if allocation is None:
             return False
-        held.until = None
+        allocation.until = None
         return True
 
     def adopt(self, attempt: AttemptId, size: Resources) -> None:
-        """Hold room for an attempt that the worker already runs."""
-        self.held_by_attempt[attempt] = Held(size, None)
+        """Allocate the resources of an attempt that the worker already runs."""
+        self.allocation_by_attempt[attempt] = Allocation(size, None)
 
     def release(self, attempt: AttemptId) -> None:
-        """Give the room of an attempt back."""
-        self.held_by_attempt.pop(attempt, None)
+        """Release the resources of an attempt."""
+        self.allocation_by_attempt.pop(attempt, None)
 
-    def over(self, now: float) -> bool:
-        """Tell whether more is committed than the VM holds."""
-        return self.known and not NOTHING.fits(self.free(now))
+    def is_overcommitted(self, now: float) -> bool:
+        """Return whether the allocations exceed the capacity of the VM."""
+        return self.is_known and not NOTHING.fits(self.free(now))
 
     def _expire(self, now: float) -> None:
-        lapsed = [
+        expired = [
             attempt
-            for attempt, held in self.held_by_attempt.items()
-            if held.until is not None and held.until < now
+            for attempt, allocation in self.allocation_by_attempt.items()
+            if allocation.until is not None and allocation.until < now
         ]
-        for attempt in lapsed:
-            del self.held_by_attempt[attempt]
+        for attempt in expired:
+            del self.allocation_by_attempt[attempt]
--- a/wagtailcleat/agent/endpoint.py
+++ b/wagtailcleat/agent/endpoint.py
@@ -1,4 +1,4 @@
-"""Calls the endpoint beside this agent, by HTTP."""
+"""HTTP client of the endpoints on this VM, used for service requests and watches."""
 
 import asyncio
 import contextlib
@@ -20,15 +20,15 @@
 from wagtailcleat.headers import REQUEST_ID, forwarded
 from wagtailcleat.wire.requests import Header, ServiceRequest
 
-CONNECT_SECONDS = 1.0
-CHECK_SECONDS = 1.0
-NO_LIMIT = 1 << 62
-NOT_REACHED = (pycurl.E_COULDNT_CONNECT, pycurl.E_COULDNT_RESOLVE_HOST)
+CONNECT_TIMEOUT_SECONDS = 1.0
+CHECK_TIMEOUT_SECONDS = 1.0
+UNLIMITED_BYTES = 1 << 62
+NOT_REACHED_ERRORS = (pycurl.E_COULDNT_CONNECT, pycurl.E_COULDNT_RESOLVE_HOST)
 
 
 @dataclass(frozen=True)
 class EndpointAnswer:
-    """The endpoint's whole answer."""
+    """The complete answer of the endpoint."""
 
     status: int
     headers: list[Header]
@@ -37,15 +37,15 @@
 
 @dataclass(frozen=True)
 class EndpointFailed:
-    """No whole answer came; `reached` tells whether the endpoint may have run it."""
+    """No complete answer came; the request may have run only if `reached` is true."""
 
     reached: bool
     reason: str
 
 
 @dataclass
-class Watching:
-    """What an endpoint's streamed answer is handed to, as it comes."""
+class EndpointStream:
+    """Receives an answer that the endpoint streams, and can abort it."""
 
     on_head: Callable[[int, list[Header]], None]
     on_data: Callable[[bytes], None]
@@ -53,7 +53,7 @@
     sockets: list[socket.socket] = field(default_factory=list)
 
     def abort(self) -> None:
-        """End the answer; curl can't be told to, so its connection is shut down."""
+        """End the answer by closing its sockets: curl has no call to cancel it."""
         for connection in self.sockets:
             with contextlib.suppress(OSError):
                 connection.shutdown(socket.SHUT_RDWR)
@@ -61,32 +61,32 @@
         self.sockets.clear()
 
     def open_socket(self, purpose: int, address: Any) -> socket.socket:
-        """Open the connection as curl asks, and keep hold of it."""
+        """Open a socket as curl's callback; record it for `abort`."""
         connection = socket.socket(*address[:3])
         self.sockets.append(connection)
         return connection
 
 
 class Endpoint:
-    """One service's endpoint on this VM."""
+    """The endpoint of one service on this VM."""
 
     def __init__(self, url: str, *, connections: int, max_answer_bytes: int) -> None:
-        """Call the endpoint at `url` over at most `connections` at once."""
+        """Call the endpoint at `url` over at most `connections` connections at once."""
         self._url = url.rstrip("/")
         self._max_answer_bytes = max_answer_bytes
         self._client = CurlAsyncHTTPClient(
-            force_instance=True, max_clients=connections, max_body_size=NO_LIMIT
+            force_instance=True, max_clients=connections, max_body_size=UNLIMITED_BYTES
         )
 
     def close(self) -> None:
-        """Close the client's connections."""
+        """Close all connections to the endpoint."""
         self._client.close()
 
-    async def answers(self) -> bool:
-        """Tell whether the endpoint takes connections."""
+    async def accepts_connections(self) -> bool:
+        """Return whether the endpoint accepts a TCP connection within the time-out."""
         parts = urlsplit(self._url)
         try:
-            async with asyncio.timeout(CHECK_SECONDS):
+            async with asyncio.timeout(CHECK_TIMEOUT_SECONDS):
                 stream = await TCPClient(resolver=BlockingResolver()).connect(
                     parts.hostname or "", parts.port or 80
                 )
@@ -98,7 +98,10 @@
     async def run(
         self, message: ServiceRequest, seconds: float
     ) -> EndpointAnswer | EndpointFailed:
-        """Pass a request on and return the whole answer."""
+        """Send a request; return the complete answer or the failure.
+
+        Parameters: `seconds` is the time-out of the whole request.
+        """
         size = 0
         chunks: list[bytes] = []
 
@@ -118,19 +121,19 @@
             return response
         if size > self._max_answer_bytes:
             return EndpointFailed(True, "the answer is larger than this agent takes")
-        pairs = _own_headers(response.headers)
+        pairs = _endpoint_headers(response.headers)
         headers = forwarded(pairs)
         if message.method == "HEAD":
-            # There is no body to measure: the length is what a GET would have.
+            # A HEAD answer has no body: its length header states that of a GET.
             headers += [(k, v) for k, v in pairs if k.lower() == "content-length"]
         return EndpointAnswer(response.code, headers, b"".join(chunks))
 
     async def watch(
-        self, message: ServiceRequest, watching: Watching
+        self, message: ServiceRequest, stream: EndpointStream
     ) -> EndpointFailed | None:
-        """Pass a request on and hand over its answer as it comes.
+        """Send a request and pass its answer to `stream` as it arrives.
 
-        Returns nothing where the answer ended by itself.
+        Return None if the endpoint ended the answer, else the failure.
         """
         started = False
 
@@ -138,20 +141,20 @@
             nonlocal started
             text = line.strip()
             if text.startswith("HTTP/"):
-                watching.headers.clear()
-                watching.headers[":status"] = text.split(" ")[1]
+                stream.headers.clear()
+                stream.headers[":status"] = text.split(" ")[1]
             elif text:
-                watching.headers.parse_line(line.rstrip())
+                stream.headers.parse_line(line.rstrip())
             elif not started:
                 started = True
-                status = int(watching.headers.pop(":status", "502"))
-                headers = forwarded(_own_headers(watching.headers))
-                watching.on_head(status, headers)
+                status = int(stream.headers.pop(":status", "502"))
+                headers = forwarded(_endpoint_headers(stream.headers))
+                stream.on_head(status, headers)
 
         def prepare(curl: pycurl.Curl) -> None:
             never_repeat(curl)
             curl.setopt(pycurl.PATH_AS_IS, 1)
-            curl.setopt(pycurl.OPENSOCKETFUNCTION, watching.open_socket)
+            curl.setopt(pycurl.OPENSOCKETFUNCTION, stream.open_socket)
 
         try:
             request = self._request(message, 0)
@@ -159,7 +162,7 @@
             return EndpointFailed(False, f"no request of HTTP: {error}")
         request.prepare_curl_callback = prepare
         request.header_callback = on_header
-        request.streaming_callback = watching.on_data
+        request.streaming_callback = stream.on_data
         response = await self._fetch(request)
         return response if isinstance(response, EndpointFailed) else None
 
@@ -170,7 +173,7 @@
         headers[REQUEST_ID] = message.id
 
         def prepare(curl: pycurl.Curl) -> None:
-            if not (message.idempotent and message.method in REPEATABLE):
+            if not (message.idempotent and message.method in SAFE_METHODS):
                 never_repeat(curl)
             curl.setopt(pycurl.PATH_AS_IS, 1)
 
@@ -178,9 +181,11 @@
             self._url + message.path,
             method=message.method,
             headers=headers,
-            body=message.body if message.body or message.method in WITH_BODY else None,
+            body=message.body
+            if message.body or message.method in METHODS_WITH_BODY
+            else None,
             allow_nonstandard_methods=True,
-            connect_timeout=CONNECT_SECONDS,
+            connect_timeout=CONNECT_TIMEOUT_SECONDS,
             request_timeout=seconds,
             follow_redirects=False,
             decompress_response=False,
@@ -194,17 +199,17 @@
             return EndpointFailed(True, str(error))
         failure = response.error
         if isinstance(failure, CurlError):
-            return EndpointFailed(failure.errno not in NOT_REACHED, str(failure))
+            return EndpointFailed(failure.errno not in NOT_REACHED_ERRORS, str(failure))
         if failure is not None and not isinstance(failure, HTTPClientError):
-            # curl was never started: it can't express the request.
+            # The client rejected the request before it started curl.
             return EndpointFailed(False, f"no request for curl: {failure}")
         return response
 
 
-def _own_headers(headers: HTTPHeaders) -> list[Header]:
-    # The client adds one of its own, with the reason phrase.
+def _endpoint_headers(headers: HTTPHeaders) -> list[Header]:
+    # Tornado's curl client adds this header, with the reason phrase.
     return [(k, v) for k, v in headers.get_all() if k != "X-Http-Reason"]
 
 
-WITH_BODY = frozenset({"POST", "PUT", "PATCH"})
-REPEATABLE = frozenset({"GET", "HEAD", "OPTIONS"})
+METHODS_WITH_BODY = frozenset({"POST", "PUT", "PATCH"})
+SAFE_METHODS = frozenset({"GET", "HEAD", "OPTIONS"})
--- a/wagtailcleat/agent/departure.py
+++ b/wagtailcleat/agent/graceful_shutdown.py
@@ -1,4 +1,7 @@
-"""Leaving without losing a request: entries acknowledge first, answers are flushed."""
+"""Steps of the agent's graceful shutdown that keep requests from being lost.
+
+Entries acknowledge the leave first, and all answers are delivered before the exit.
+"""
 
 import asyncio
 
@@ -14,14 +17,14 @@
 ANNOUNCE_TIMEOUT_SECONDS = 1.0
 FLUSH_TIMEOUT_SECONDS = 2.0
 FLUSH_POLL_SECONDS = 0.01
-SILENT_PINGS = 3
+MISSED_PINGS = 3
 
 
 async def announce_leave(node: Node, timing: Timing) -> float:
-    """Tell all peers that this agent leaves; return until when it must stay."""
-    # Entries hear it over the streams they hold: what they sent before they
-    # acknowledged it came before the acknowledgement, so after that none of them
-    # has a request on its way here.
+    """Announce to all peers that this agent leaves; return when it may exit."""
+    # The announcement goes over the streams that entries opened. Messages on a stream
+    # are ordered, so all requests that an entry sent come before its acknowledgement,
+    # and none is in flight to this agent afterwards.
     node.view.change_me(node.clock(), state=MemberState.LEAVING)
     members = Members([], [node.view.me])
     entries = [s for s in node.listener.streams if s.peer_role is Role.ENTRY]
@@ -34,17 +37,18 @@
         answers = [None]
     if all(isinstance(answer, Done) for answer in answers[: len(calls)]):
         return announced_at
-    # An entry that did not acknowledge may have written requests into a silent
-    # connection. It finds that out and asks here what became of them; if this
-    # process were gone by then, nobody could tell that they have not run.
-    log.warning("Not every entry acknowledged that this agent leaves")
-    return announced_at + timing.silence + SILENT_PINGS * timing.ping + timing.connect
+    # An entry that did not acknowledge may have written requests to a connection that
+    # has gone silent. Once it detects the silence, it asks this agent for their
+    # outcome. This process must still run then: no other can say that they have not
+    # run.
+    log.warning("Agent delays its exit: an entry did not acknowledge the leave")
+    return announced_at + timing.silence + MISSED_PINGS * timing.ping + timing.connect
 
 
 async def flush_answers(node: Node) -> None:
-    """Wait until peers have closed their streams, and so have all answers."""
-    # An answer may still be in a stream's buffer. Closing the stream would lose it,
-    # and its caller could not be told whether the request ran.
+    """Wait until peers have received all answers and closed their streams."""
+    # Closing a stream would lose the answers in its send buffer, and their callers
+    # could not be told whether the requests ran.
     for stream in list(node.listener.streams):
         stream.go_away()
     try:
@@ -52,4 +56,4 @@
             while node.listener.streams:  # noqa: ASYNC110
                 await asyncio.sleep(FLUSH_POLL_SECONDS)
     except TimeoutError:
-        log.warning("Not every answer has left this process")
+        log.warning("Peer streams did not close in time; answers may be lost")
--- a/wagtailcleat/agent/grant_renewal.py
+++ b/wagtailcleat/agent/grant_renewal.py
@@ -1,8 +1,9 @@
-"""Renews the grants of attempts at their owners, and reports ends to them.
+"""Renews the grants of attempts at their shards' owners, and reports ends to them.
 
-The agent counts a grant from when it asked for it, the owner from when it answered,
-so the agent's view always ends first. The worker holds the same instant as its
-lease: a task whose agent died or was paused is stopped by the worker itself.
+A grant is a lease on running an attempt. The agent counts it from its request, the
+owner from its answer, so it always expires at the agent first. The worker's lease on
+the task ends at the same instant as the agent's grant: the worker itself stops a task
+whose agent has crashed or is paused.
 """
 
 import asyncio
@@ -23,7 +24,7 @@
 
 
 class GrantRenewal:
-    """Asks each shard's owner for longer grants, at intervals and after an end."""
+    """Requests new grants from each shard's owner, at intervals and after an end."""
 
     def __init__(
         self,
@@ -38,7 +39,7 @@
         incarnation: Incarnation,
         timing: Timing,
     ) -> None:
-        """Renew the grants of `table`, and with them the leases at `worker`."""
+        """Renew the grants of the attempts in `table`, and their leases at `worker`."""
         self._table = table
         self._owners = owners
         self._evictor = evictor
@@ -49,10 +50,10 @@
         self._incarnation = incarnation
         self._timing = timing
         self._interval = timing.grant / RENEWALS_PER_GRANT
-        self._asked_at_by_shard: dict[ShardId, float] = {}
+        self._renewed_at_by_shard: dict[ShardId, float] = {}
 
     async def run(self) -> None:
-        """Renew what is due, at intervals and after an end, until cancelled."""
+        """Renew due grants at intervals and after an end, until cancelled."""
         ended = self._table.unreported_end
         while True:
             await self.renew_due()
@@ -64,41 +65,41 @@
             ended.clear()
 
     async def renew_due(self) -> None:
-        """Ask the owner of each shard that is due."""
+        """Renew the grants of each shard with an unreported end or a renewal due."""
         now = self._table.clock()
         due: set[ShardId] = set()
         for attempt in self._table.attempt_by_id.values():
             if attempt.phase is Phase.RESERVED:
                 continue
-            asked_at = self._asked_at_by_shard.get(attempt.shard, 0.0)
-            if attempt.report is not None or now - asked_at >= self._interval:
+            renewed_at = self._renewed_at_by_shard.get(attempt.shard, 0.0)
+            if attempt.report is not None or now - renewed_at >= self._interval:
                 due.add(attempt.shard)
         await asyncio.gather(*(self._renew_shard(shard) for shard in due))
 
     async def _renew_shard(self, shard: ShardId) -> None:
-        if shard in self._owners.unfenced:
+        if shard in self._owners.shards_without_epoch:
             return
         for owner in self._owners.candidates(shard):
-            if await self._ask_owner(shard, owner):
+            if await self._request_renewal(shard, owner):
                 return
 
-    async def _ask_owner(self, shard: ShardId, owner: Member) -> bool:
-        asked_at = self._table.clock()
+    async def _request_renewal(self, shard: ShardId, owner: Member) -> bool:
+        requested_at = self._table.clock()
         answer = await self._peers.call(
             owner.host,
             owner.port,
-            self._request(shard, asked_at),
+            self._renewal_message(shard, requested_at),
             timeout=CALL_TIMEOUT_SECONDS,
         )
         if not isinstance(answer, Grants):
             return False
         if not self._owners.accept(shard, answer.epoch, owner.node):
             return False
-        self._asked_at_by_shard[shard] = asked_at
-        await self._apply(answer, asked_at)
+        self._renewed_at_by_shard[shard] = requested_at
+        await self._apply(answer, requested_at)
         return True
 
-    def _request(self, shard: ShardId, now: float) -> RenewGrants:
+    def _renewal_message(self, shard: ShardId, now: float) -> RenewGrants:
         return RenewGrants(
             self._vm,
             self._node,
@@ -113,8 +114,8 @@
             self._table.commitments.free(now),
         )
 
-    async def _apply(self, answer: Grants, asked_at: float) -> None:
-        await self._extend(answer.seconds_by_attempt, asked_at)
+    async def _apply(self, answer: Grants, requested_at: float) -> None:
+        await self._extend(answer.seconds_by_attempt, requested_at)
         for attempt_id in answer.acknowledged:
             await self._forget(attempt_id)
         for attempt_id in answer.stop:
@@ -123,14 +124,14 @@
                 await self._evictor.evict(attempt, "its owner stops it")
 
     async def _extend(
-        self, seconds_by_attempt: dict[AttemptId, float], asked_at: float
+        self, seconds_by_attempt: dict[AttemptId, float], requested_at: float
     ) -> None:
         lease_until_by_attempt: dict[AttemptId, float] = {}
         for attempt_id, seconds in seconds_by_attempt.items():
             attempt = self._table.attempt_by_id.get(attempt_id)
             if attempt is None or attempt.phase is Phase.ENDED:
                 continue
-            attempt.grant_until = max(attempt.grant_until, asked_at + seconds)
+            attempt.grant_until = max(attempt.grant_until, requested_at + seconds)
             lease_until_by_attempt[attempt_id] = attempt.grant_until
         if lease_until_by_attempt:
             await self._worker.renew(lease_until_by_attempt)
--- a/wagtailcleat/agent/interference.py
+++ b/wagtailcleat/agent/interference.py
@@ -1,10 +1,12 @@
-"""What this VM does when batch tasks slow a service down, and what it learns of it.
-
-Interference shows only in lagged usage and in the services' own latencies, so one
-step is taken a lag interval: throttle the class of tasks that hurts most, then
-evict its largest, then offer less. Each interval also teaches a score for the pair
-of service and job class: the slowdown that one used core causes. Reservations read
-the scores, so that a pair known to be bad is not made again.
+"""Control loop that limits how much batch tasks slow down the services on this VM.
+
+Interference can be seen only in the usage of tasks, which is reported with a lag, and
+in the services' own latencies. The controller therefore acts once per lag interval: it
+throttles the job class that slows the services most, then evicts the largest task of
+that class, then offers less of the VM to batch work. Each interval also updates a score
+for each pair of service and job class: the relative slowdown per used core.
+Reservations read the scores, so that a task is not placed beside a service that its
+class is known to slow down. `NeighbourMonitor` calls the controller.
 """
 
 from bisect import bisect_left
@@ -19,47 +21,56 @@
 from wagtailcleat.ids import AttemptId, ServiceName
 
 MICROSECONDS = 1_000_000
-TAIL_SHARE = 0.01
-CHANCE_DEVIATIONS = 2.0
-MIN_COUNT = 20
-NOISE_OF_ONE = 0.8
-"""Variance of the relative error of a median, times the answers it is taken from."""
-FIRST_VARIANCE = 0.03**2
-TOLD_VARIANCE = 0.01**2
+ALLOWED_SLOW_SHARE = 0.01
+"""Share of answers that may exceed the latency target: it is a 99th percentile."""
+BREACH_DEVIATIONS = 2.0
+"""Standard deviations above the expected number of slow answers for a breach."""
+MIN_ANSWERS = 20
+MEDIAN_NOISE = 0.8
+"""Variance of a median's relative error, multiplied by its number of answers."""
+INITIAL_VARIANCE = 0.03**2
+"""Variance of a score that no interval has updated yet, and the largest of any."""
+IMPORTED_VARIANCE = 0.01**2
+"""Variance of a score that was learned on other VMs."""
 DRIFT_VARIANCE = 0.002**2
-CHANGE_NOISE = 0.02
-"""How far the slowdown is in doubt for each core of use that came or went."""
-FORGET_WEIGHT = 0.03
-FIRST_SCORE = 0.01
+"""Growth of a score's variance per interval: the process noise of the filter."""
+USAGE_CHANGE_NOISE = 0.02
+"""Standard deviation of the slowdown per core of usage that was added or removed."""
+DECAY_WEIGHT = 0.03
+"""Weight with which an unmeasured score returns to `INITIAL_SCORE` per interval."""
+INITIAL_SCORE = 0.01
 MAX_SCORE = 2.0
-CALM_WEIGHT = 0.2
-CALM_DOWN_WEIGHT = 0.1
-ALLOWED_EXCESS = 0.17
-MIN_SHARE = 0.4
-LEAST_STEP = 0.4
+BASELINE_WEIGHT = 0.2
+"""Weight of a new median in the baseline while batch tasks are idle."""
+BASELINE_LOWERING_WEIGHT = 0.1
+"""Weight of a median below the baseline while batch tasks are busy."""
+MAX_SLOWDOWN = 0.17
+"""Greatest relative slowdown of a service that is accepted."""
+MIN_CPU_SHARE = 0.4
+MIN_THROTTLE_FACTOR = 0.4
 RELEASE_FACTOR = 1.6
-RELEASE_AFTER_CALM = 2
+RELEASE_AFTER_INTERVALS = 2
 EVICT_AFTER_BREACHES = 2
-MIN_OFFER = 0.25
-OFFER_STEP = 0.75
-IDLE_CORES = 0.5
+MIN_OFFERED_SHARE = 0.25
+OFFER_FACTOR = 0.75
+MAX_IDLE_CORES = 0.5
 
 
 @dataclass(frozen=True)
 class Neighbour:
-    """A batch attempt beside the services; `used` is its lagged usage in cores."""
+    """A batch attempt on a VM with services; `used_cores` is its lagged usage."""
 
     attempt: AttemptId
     job_class: str
     cores: float
-    used: float
+    used_cores: float
     share: float = 1.0
     urgent: bool = False
 
 
 @dataclass(frozen=True)
-class Tail:
-    """A service's answers over one interval."""
+class LatencySummary:
+    """Latencies of a service's answers over one interval; `median` in seconds."""
 
     count: int
     over_target: int
@@ -67,19 +78,19 @@
 
     @property
     def breached(self) -> bool:
-        """Tell whether more answers were over the target than chance explains.
+        """Return whether more answers exceeded the target than chance explains.
 
-        The 99th percentile of some hundred answers is little more than their
-        maximum; a control that acts on it evicts for noise.
+        The 99th percentile of a few hundred answers is close to their maximum, so a
+        controller that acted on it would evict tasks because of noise.
         """
-        expected = self.count * TAIL_SHARE
-        limit = expected + CHANCE_DEVIATIONS * sqrt(max(expected, 0.5))
-        return self.count >= MIN_COUNT and self.over_target > limit
+        expected = self.count * ALLOWED_SLOW_SHARE
+        limit = expected + BREACH_DEVIATIONS * sqrt(max(expected, 0.5))
+        return self.count >= MIN_ANSWERS and self.over_target > limit
 
 
 @dataclass(frozen=True)
 class Throttle:
-    """Hold an attempt to a share of its cores."""
+    """Limit an attempt to a share of its cores."""
 
     attempt: AttemptId
     share: float
@@ -87,40 +98,42 @@
 
 @dataclass(frozen=True)
 class Evict:
-    """Checkpoint and stop an attempt, so that it goes on elsewhere."""
+    """Checkpoint and stop an attempt, so that its task resumes on another VM."""
 
     attempt: AttemptId
     reason: str
 
 
-Step = Throttle | Evict
+Action = Throttle | Evict
 
 
-class TailWindow:
-    """Reads what a histogram recorded since the last look."""
+class LatencyWindow:
+    """Summarizes what a latency histogram has recorded since the last read."""
 
     def __init__(self, histogram: HdrHistogram) -> None:
-        """Start from what the histogram holds now."""
+        """Start from the current counts of the histogram."""
         self.histogram = histogram
         self._before = self._counts()
 
-    def look(self, target_seconds: float) -> Tail:
-        """Return the answers since the last look."""
+    def read(self, target_seconds: float) -> LatencySummary:
+        """Return the answers since the last read, compared with the target."""
         counts = self._counts()
-        # The counts only grow at their end as larger values come.
+        # Larger values extend the list of counts at its end only.
         before = self._before + [0] * (len(counts) - len(self._before))
         new = [now - then for now, then in zip(counts, before, strict=True)]
         self._before = counts
         total = sum(new)
-        return Tail(total, self._over(new, target_seconds), self._median(new, total))
+        return LatencySummary(
+            total, self._count_over(new, target_seconds), self._median(new, total)
+        )
 
     def _counts(self) -> list[int]:
-        # Up to the largest value: the rest of the array, most of it, is empty.
+        # Only up to the largest value: most of the array lies beyond it and is empty.
         largest = self.histogram.get_max_value()
         last = self.histogram.get_counts_array_index(int(largest))
         return list(self.histogram.counts[: last + 1])
 
-    def _over(self, new: list[int], target_seconds: float) -> int:
+    def _count_over(self, new: list[int], target_seconds: float) -> int:
         value = int(target_seconds * MICROSECONDS)
         first = self.histogram.get_counts_array_index(value)
         return sum(new[first + 1 :])
@@ -134,29 +147,31 @@
 
 
 @dataclass
-class Interference:
-    """The scores and the throttles of one VM; one `step` a lag interval."""
+class InterferenceController:
+    """Scores, throttles and offer of one VM; call `step` once per lag interval."""
 
     score_by_pair: dict[tuple[ServiceName, str], float] = field(default_factory=dict)
     share_by_attempt: dict[AttemptId, float] = field(default_factory=dict)
-    calm_median_by_service: dict[ServiceName, float] = field(default_factory=dict)
-    offer: float = 1.0
+    baseline_median_by_service: dict[ServiceName, float] = field(default_factory=dict)
+    offered_share: float = 1.0
     variance_by_pair: dict[tuple[ServiceName, str], float] = field(default_factory=dict)
     throttles: int = 0
     evictions: int = 0
-    _breaches: int = 0
-    _calm: int = 0
-    _last_tail_by_service: dict[ServiceName, Tail] = field(default_factory=dict)
+    _consecutive_breaches: int = 0
+    _intervals_without_breach: int = 0
+    _last_latency_by_service: dict[ServiceName, LatencySummary] = field(
+        default_factory=dict
+    )
     _last_used_by_class: dict[str, float] = field(default_factory=dict)
 
     def score(self, service: ServiceName, job_class: str) -> float:
-        """Return the slowdown that one core of a job class causes to a service."""
-        return self.score_by_pair.get((service, job_class), FIRST_SCORE)
+        """Return the relative slowdown of a service per core of a job class."""
+        return self.score_by_pair.get((service, job_class), INITIAL_SCORE)
 
-    def excess(
+    def predicted_slowdown(
         self, services: Iterable[ServiceName], cores_by_class: Mapping[str, float]
     ) -> float:
-        """Return the greatest slowdown foreseen of any service, above 1."""
+        """Return the greatest predicted relative slowdown of any service; 0 is none."""
         return max(
             (
                 sum(self.score(s, c) * cores for c, cores in cores_by_class.items())
@@ -172,30 +187,34 @@
         job_class: str,
         cores: float,
     ) -> str:
-        """Return why one more task is not taken beside the services, or nothing."""
-        held = _cores_by_class(neighbours)
-        if self.offer < 1.0 and held:
+        """Return why one more task is refused beside the services; empty if not."""
+        cores_by_class = _cores_by_class(neighbours)
+        if self.offered_share < 1.0 and cores_by_class:
             return "this VM offers less: its services are slow"
         known = [s for s in services if (s, job_class) in self.score_by_pair]
-        after = held | {job_class: held.get(job_class, 0.0) + cores}
-        hurt = [
+        cores_after = cores_by_class | {
+            job_class: cores_by_class.get(job_class, 0.0) + cores
+        }
+        affected = [
             s
             for s in known
-            if self.excess([s], after) > ALLOWED_EXCESS
-            and self.score(s, job_class) > FIRST_SCORE
+            if self.predicted_slowdown([s], cores_after) > MAX_SLOWDOWN
+            and self.score(s, job_class) > INITIAL_SCORE
         ]
-        if hurt:
-            return f"tasks of class '{job_class}' slow {', '.join(sorted(hurt))} down"
+        if affected:
+            return (
+                f"tasks of class '{job_class}' slow {', '.join(sorted(affected))} down"
+            )
         return ""
 
     def penalty(self, services: Iterable[ServiceName], job_class: str) -> float:
-        """Return the worst score of a job class beside the services."""
+        """Return the highest score of a job class with any of the services."""
         return max((self.score(s, job_class) for s in services), default=0.0)
 
     def known_penalty(
         self, services: Iterable[ServiceName], job_class: str
     ) -> float | None:
-        """Return the worst score of a job class, if any service has one."""
+        """Return the highest known score of a job class, None if there is none."""
         scores = [
             score
             for s in services
@@ -203,163 +222,176 @@
         ]
         return max(scores, default=None)
 
-    def tell(
+    def import_score(
         self, services: Iterable[ServiceName], job_class: str, score: float
     ) -> None:
-        """Take a score learned elsewhere for pairs not known here."""
+        """Set a score learned on other VMs for the pairs that have none here."""
         for service in services:
             if (service, job_class) not in self.score_by_pair:
                 self.score_by_pair[service, job_class] = score
-                self.variance_by_pair[service, job_class] = TOLD_VARIANCE
+                self.variance_by_pair[service, job_class] = IMPORTED_VARIANCE
 
     def step(
         self,
-        tail_by_service: Mapping[ServiceName, Tail],
+        latency_by_service: Mapping[ServiceName, LatencySummary],
         neighbours: list[Neighbour],
-    ) -> list[Step]:
-        """Learn from one lag interval, and return what to do now.
+    ) -> list[Action]:
+        """Update the scores from one lag interval; return the actions to take.
 
-        The usage of `neighbours` is a lag old: it stood while the tails of the
-        step before this one were measured, and is matched with those.
+        The usage of `neighbours` is one lag interval old. It belongs to the time in
+        which the latencies of the previous step were measured, and is compared with
+        those.
         """
         self._forget_ended(neighbours)
         self._learn(neighbours)
-        self._last_tail_by_service = dict(tail_by_service)
-        breached = [name for name, tail in tail_by_service.items() if tail.breached]
+        self._last_latency_by_service = dict(latency_by_service)
+        breached = [
+            name for name, latency in latency_by_service.items() if latency.breached
+        ]
         if breached:
-            self._calm = 0
-            self._breaches += 1
-            return self._tighten(breached, neighbours)
-        self._breaches = 0
-        self._calm += 1
-        if self._calm > RELEASE_AFTER_CALM:
-            return self._release(list(tail_by_service), neighbours)
+            self._intervals_without_breach = 0
+            self._consecutive_breaches += 1
+            return self._restrict(breached, neighbours)
+        self._consecutive_breaches = 0
+        self._intervals_without_breach += 1
+        if self._intervals_without_breach > RELEASE_AFTER_INTERVALS:
+            return self._release(list(latency_by_service), neighbours)
         return []
 
-    # ---- learning
-
     def _learn(self, neighbours: list[Neighbour]) -> None:
-        # The usage read now stood at the end of the interval that the last tails
-        # come from, the one read before at its start.
+        # The current usage reading belongs to the end of the interval in which the
+        # previous latencies were measured, the reading before it to the start.
         now: dict[str, float] = defaultdict(float)
         for neighbour in neighbours:
-            now[neighbour.job_class] += neighbour.used
+            now[neighbour.job_class] += neighbour.used_cores
         before, self._last_used_by_class = self._last_used_by_class, dict(now)
         classes = set(now) | set(before)
         used_by_class = {c: (now.get(c, 0) + before.get(c, 0)) / 2 for c in classes}
         changed = sum(abs(now.get(c, 0) - before.get(c, 0)) / 2 for c in classes)
-        doubt = (CHANGE_NOISE * changed) ** 2
-        alone = sum(used_by_class.values()) < IDLE_CORES
-        for service, tail in self._last_tail_by_service.items():
-            if tail.count >= MIN_COUNT:
-                self._learn_calm(service, tail.median, alone)
-                if not alone:
-                    self._learn_scores(service, tail, used_by_class, doubt)
-        self._forget_unseen(used_by_class)
-
-    def _learn_calm(self, service: ServiceName, median: float, alone: bool) -> None:
-        calm = self.calm_median_by_service.setdefault(service, median)
-        weight = CALM_WEIGHT if alone else CALM_DOWN_WEIGHT * (median < calm)
-        self.calm_median_by_service[service] = calm + weight * (median - calm)
+        change_variance = (USAGE_CHANGE_NOISE * changed) ** 2
+        is_idle = sum(used_by_class.values()) < MAX_IDLE_CORES
+        for service, latency in self._last_latency_by_service.items():
+            if latency.count >= MIN_ANSWERS:
+                self._learn_baseline(service, latency.median, is_idle)
+                if not is_idle:
+                    self._learn_scores(service, latency, used_by_class, change_variance)
+        self._decay_unmeasured(used_by_class)
+
+    def _learn_baseline(
+        self, service: ServiceName, median: float, is_idle: bool
+    ) -> None:
+        baseline = self.baseline_median_by_service.setdefault(service, median)
+        weight = (
+            BASELINE_WEIGHT
+            if is_idle
+            else BASELINE_LOWERING_WEIGHT * (median < baseline)
+        )
+        self.baseline_median_by_service[service] = baseline + weight * (
+            median - baseline
+        )
 
     def _learn_scores(
         self,
         service: ServiceName,
-        tail: Tail,
+        latency: LatencySummary,
         used_by_class: Mapping[str, float],
-        doubt: float,
+        change_variance: float,
     ) -> None:
-        # A Kalman filter with one variance a pair: the error of the foreseen
-        # slowdown is shared out by used cores and by how little is known of a
-        # pair yet, and less of it is believed the fewer answers it comes from.
-        observed = tail.median / self.calm_median_by_service[service] - 1
-        error = observed - self.excess([service], used_by_class)
-        spread = NOISE_OF_ONE / tail.count + doubt
+        # A Kalman filter with one variance per pair. The residual of the predicted
+        # slowdown is divided among the pairs by their used cores and variances, and
+        # has less weight the fewer answers it comes from.
+        observed = latency.median / self.baseline_median_by_service[service] - 1
+        residual = observed - self.predicted_slowdown([service], used_by_class)
+        innovation_variance = MEDIAN_NOISE / latency.count + change_variance
         for job_class, cores in used_by_class.items():
-            spread += self._variance(service, job_class) * cores * cores
+            innovation_variance += self._variance(service, job_class) * cores * cores
         for job_class, cores in used_by_class.items():
             pair = (service, job_class)
             variance = self._variance(*pair)
-            gain = variance * cores / spread
-            score = self.score(*pair) + gain * error
+            gain = variance * cores / innovation_variance
+            score = self.score(*pair) + gain * residual
             self.score_by_pair[pair] = min(max(score, 0.0), MAX_SCORE)
             self.variance_by_pair[pair] = variance * (1 - gain * cores)
 
     def _variance(self, service: ServiceName, job_class: str) -> float:
-        known = self.variance_by_pair.get((service, job_class), FIRST_VARIANCE)
-        return min(known + DRIFT_VARIANCE, FIRST_VARIANCE)
+        known = self.variance_by_pair.get((service, job_class), INITIAL_VARIANCE)
+        return min(known + DRIFT_VARIANCE, INITIAL_VARIANCE)
 
-    def _forget_unseen(self, used_by_class: Mapping[str, float]) -> None:
-        # A class that is refused is never measured again. Its score fades, so that
-        # it is tried anew some time: what it does shifts with load and releases.
+    def _decay_unmeasured(self, used_by_class: Mapping[str, float]) -> None:
+        # A class that is refused is never measured again. Its score decays, so that
+        # the class is admitted again later: its effect changes with the load and with
+        # new releases of the software.
         for pair, score in self.score_by_pair.items():
             if pair[1] not in used_by_class:
-                faded = score + FORGET_WEIGHT * (FIRST_SCORE - score)
-                self.score_by_pair[pair] = faded
+                decayed = score + DECAY_WEIGHT * (INITIAL_SCORE - score)
+                self.score_by_pair[pair] = decayed
                 self.variance_by_pair[pair] = self._variance(*pair)
 
-    # ---- acting
-
-    def _tighten(
+    def _restrict(
         self, breached: list[ServiceName], neighbours: list[Neighbour]
-    ) -> list[Step]:
-        movable = [n for n in neighbours if not n.urgent] or neighbours
-        if not movable:
+    ) -> list[Action]:
+        candidates = [n for n in neighbours if not n.urgent] or neighbours
+        if not candidates:
             return []
         harm_by_class: dict[str, float] = defaultdict(float)
-        for n in movable:
+        for n in candidates:
             harm = self.penalty(breached, n.job_class) * n.cores * self._share(n)
             harm_by_class[n.job_class] += harm
         worst = max(harm_by_class, key=lambda c: harm_by_class[c])
-        of_class = [n for n in movable if n.job_class == worst]
-        lowest = all(self._share(n) <= MIN_SHARE for n in of_class)
-        if not lowest:
+        of_class = [n for n in candidates if n.job_class == worst]
+        all_at_minimum = all(self._share(n) <= MIN_CPU_SHARE for n in of_class)
+        if not all_at_minimum:
             return self._throttle(of_class, self._next_share(harm_by_class, worst))
-        if self._breaches >= EVICT_AFTER_BREACHES:
+        if self._consecutive_breaches >= EVICT_AFTER_BREACHES:
             return self._evict(of_class, breached)
         return []
 
     def _next_share(self, harm_by_class: Mapping[str, float], worst: str) -> float:
-        # The scores size the step: what is foreseen above the allowed slowdown is
-        # taken from the worst class, and at least a little, as a breach was seen.
-        above = max(0.0, sum(harm_by_class.values()) - ALLOWED_EXCESS)
-        wanted = 1 - above / max(harm_by_class[worst], 1e-6)
-        return min(max(wanted, LEAST_STEP), 0.75)
-
-    def _throttle(self, neighbours: list[Neighbour], factor: float) -> list[Step]:
-        steps: list[Step] = []
+        # The scores determine the size of the reduction: the predicted slowdown above
+        # the accepted one is taken from the worst class. As there was a breach, the
+        # share is reduced by a quarter at least.
+        overshoot = max(0.0, sum(harm_by_class.values()) - MAX_SLOWDOWN)
+        factor = 1 - overshoot / max(harm_by_class[worst], 1e-6)
+        return min(max(factor, MIN_THROTTLE_FACTOR), 0.75)
+
+    def _throttle(self, neighbours: list[Neighbour], factor: float) -> list[Action]:
+        actions: list[Action] = []
         for neighbour in neighbours:
-            share = min(1.0, max(MIN_SHARE, self._share(neighbour) * factor))
+            share = min(1.0, max(MIN_CPU_SHARE, self._share(neighbour) * factor))
             if share != self._share(neighbour):
                 self.share_by_attempt[neighbour.attempt] = share
                 self.throttles += 1
-                steps.append(Throttle(neighbour.attempt, share))
-        return steps
+                actions.append(Throttle(neighbour.attempt, share))
+        return actions
 
     def _evict(
         self, of_class: list[Neighbour], breached: list[ServiceName]
-    ) -> list[Step]:
+    ) -> list[Action]:
         largest = max(of_class, key=lambda n: n.cores)
         self.evictions += 1
-        self._breaches = 0
+        self._consecutive_breaches = 0
         if len(of_class) == 1:
-            self.offer = max(MIN_OFFER, self.offer * OFFER_STEP)
+            self.offered_share = max(
+                MIN_OFFERED_SHARE, self.offered_share * OFFER_FACTOR
+            )
         return [Evict(largest.attempt, f"it slows {', '.join(breached)} down")]
 
     def _release(
         self, services: list[ServiceName], neighbours: list[Neighbour]
-    ) -> list[Step]:
-        self.offer = min(1.0, self.offer / OFFER_STEP)
-        held = [n for n in neighbours if self._share(n) < 1.0]
-        if not held:
+    ) -> list[Action]:
+        self.offered_share = min(1.0, self.offered_share / OFFER_FACTOR)
+        throttled = [n for n in neighbours if self._share(n) < 1.0]
+        if not throttled:
             return []
-        least = min(held, key=lambda n: self.penalty(services, n.job_class))
-        of_class = [n for n in held if n.job_class == least.job_class]
-        after: dict[str, float] = defaultdict(float)
+        least_harmful = min(
+            throttled, key=lambda n: self.penalty(services, n.job_class)
+        )
+        of_class = [n for n in throttled if n.job_class == least_harmful.job_class]
+        cores_after: dict[str, float] = defaultdict(float)
         for n in neighbours:
-            factor = RELEASE_FACTOR if n.job_class == least.job_class else 1.0
-            after[n.job_class] += n.cores * min(1.0, self._share(n) * factor)
-        if self.excess(services, after) > ALLOWED_EXCESS:
+            factor = RELEASE_FACTOR if n.job_class == least_harmful.job_class else 1.0
+            cores_after[n.job_class] += n.cores * min(1.0, self._share(n) * factor)
+        if self.predicted_slowdown(services, cores_after) > MAX_SLOWDOWN:
             return []
         return self._throttle(of_class, RELEASE_FACTOR)
 
--- a/wagtailcleat/agent/metrics.py
+++ b/wagtailcleat/agent/metrics.py
@@ -1,10 +1,10 @@
-"""The metrics of an agent."""
+"""Registers the metrics of an agent; `Agent` calls it once at start."""
 
 from collections.abc import Mapping
 
 from wagtailcleat.agent.attempts import Attempts
 from wagtailcleat.agent.commitments import Commitments
-from wagtailcleat.agent.interference import Interference
+from wagtailcleat.agent.interference import InterferenceController
 from wagtailcleat.agent.services import Services
 from wagtailcleat.batch.ownership import Ownership
 from wagtailcleat.clock import Clock
@@ -18,10 +18,10 @@
     attempts: Attempts,
     commitments: Commitments,
     ownership: Ownership,
-    interference: Interference,
+    interference: InterferenceController,
     clock: Clock,
 ) -> None:
-    """Show what an agent serves, runs, holds and owns."""
+    """Register the metrics of services, attempts, resources and shards."""
     _add_services(introspection, services)
     _add_interference(introspection, interference)
     metric, labelled = introspection.metric, introspection.labelled
@@ -92,29 +92,31 @@
     )
 
 
-def _add_interference(introspection: Introspection, control: Interference) -> None:
+def _add_interference(
+    introspection: Introspection, controller: InterferenceController
+) -> None:
     introspection.metric(
         Kind.GAUGE,
         "batch_offer",
         "Share of the VM offered to batch work for its services' sake.",
-        lambda: control.offer,
+        lambda: controller.offered_share,
     )
     introspection.metric(
         Kind.COUNTER,
         "throttles",
         "Batch tasks held to a share of their cores for a service's sake.",
-        lambda: control.throttles,
+        lambda: controller.throttles,
     )
     introspection.metric(
         Kind.COUNTER,
         "neighbour_evictions",
         "Batch tasks evicted for a service's sake.",
-        lambda: control.evictions,
+        lambda: controller.evictions,
     )
 
 
 def by_resource(amount: Resources) -> Mapping[str, float]:
-    """Return an amount by the name of the resource."""
+    """Return the amounts of the resources by name."""
     return {
         "cores": amount.cores,
         "memory_mb": amount.memory_mb,
--- a/wagtailcleat/agent/neighbours.py
+++ b/wagtailcleat/agent/neighbours.py
@@ -1,4 +1,7 @@
-"""Watches the batch neighbours of this VM's services, and acts on them in steps."""
+"""Connects the interference controller with the worker, services and attempts.
+
+Neighbours are the batch attempts that run on the same VM as services.
+"""
 
 import asyncio
 
@@ -6,12 +9,12 @@
 from wagtailcleat.agent.attempts import Attempts
 from wagtailcleat.agent.commitments import Commitments
 from wagtailcleat.agent.interference import (
+    Action,
     Evict,
-    Interference,
+    InterferenceController,
+    LatencySummary,
+    LatencyWindow,
     Neighbour,
-    Step,
-    Tail,
-    TailWindow,
     Throttle,
 )
 from wagtailcleat.agent.services import Services
@@ -26,80 +29,82 @@
 UNREACHABLE_PAUSE_SECONDS = 1.0
 
 
-class NeighbourWatch:
-    """Looks once a lag interval, and carries out what the control decides."""
+class NeighbourMonitor:
+    """Measures once per lag interval, and applies the controller's actions."""
 
     def __init__(
         self,
-        control: Interference,
+        controller: InterferenceController,
         attempts: Attempts,
         commitments: Commitments,
         services: Services,
         worker: Worker,
     ) -> None:
-        """Act on `attempts` for the sake of `services`."""
-        self.control = control
+        """Throttle and evict `attempts` to protect the latencies of `services`."""
+        self.controller = controller
         self._attempts = attempts
         self._commitments = commitments
         self._services = services
         self._worker = worker
         self._used_by_attempt: dict[AttemptId, Resources] = {}
-        self._window_by_service: dict[ServiceName, TailWindow] = {}
-        attempts.limit_interference(self.refuses, self.penalty)
+        self._window_by_service: dict[ServiceName, LatencyWindow] = {}
+        attempts.limit_interference(self.refusal_reason, self.penalty)
 
     async def run(self) -> None:
-        """Look and act, until cancelled."""
+        """Measure and act at intervals, until cancelled."""
         while True:
             usage = await self._worker.usage()
             if isinstance(usage, WorkerUnreachable):
                 await asyncio.sleep(UNREACHABLE_PAUSE_SECONDS)
                 continue
-            self._take_usage(usage)
-            for step in self.control.step(self._tails(), self.neighbours()):
-                await self._carry_out(step)
-            # Usage lags: a second step before the first one shows would act twice
-            # on the same cause.
+            self._record_usage(usage)
+            for action in self.controller.step(
+                self._read_latencies(), self.neighbours()
+            ):
+                await self._apply(action)
+            # Usage is reported with a lag: a second step before the effect of the
+            # first is visible would react twice to the same cause.
             await asyncio.sleep(max(MIN_INTERVAL_SECONDS, usage.lag_seconds))
 
-    def refuses(self, job_class: str, size: Resources) -> str:
-        """Return why a task of that class is not taken beside the services."""
-        return self.control.refusal(
+    def refusal_reason(self, job_class: str, size: Resources) -> str:
+        """Return why a task of a job class and size is refused; empty if it is not."""
+        return self.controller.refusal(
             list(self._services.instance_by_service),
             self.neighbours(),
             job_class,
             size.cores,
         )
 
-    def penalty(self, job_class: str, told: float | None) -> float | None:
-        """Return the worst slowdown of a service here by one core of the class.
+    def penalty(self, job_class: str, owner_estimate: float | None) -> float | None:
+        """Return the worst slowdown of a service here per core of a job class.
 
-        Parameters: `told` is what the owner knows of it, taken where nothing is
-        known here; so a new agent does not learn anew what others have.
+        Parameters: `owner_estimate` is used for services without a score of their own,
+        so that a new agent need not learn again what other agents have learned.
         """
         services = self._services.instance_by_service
-        if told is not None:
-            self.control.tell(services, job_class, told)
-        return self.control.known_penalty(services, job_class)
+        if owner_estimate is not None:
+            self.controller.import_score(services, job_class, owner_estimate)
+        return self.controller.known_penalty(services, job_class)
 
     def neighbours(self) -> list[Neighbour]:
-        """Return what runs or is about to, with its lagged usage."""
+        """Return the attempts that hold resources, with their last reported usage."""
         return [
             self._neighbour(attempt)
             for attempt in self._attempts.attempt_by_id.values()
-            if attempt.id in self._commitments.held_by_attempt
+            if attempt.id in self._commitments.allocation_by_attempt
         ]
 
     def dump(self) -> dict[str, object]:
-        """Return scores, throttles and counts for the state dump."""
-        control = self.control
+        """Return offer, counts, throttles and scores for the state dump."""
+        controller = self.controller
         return {
-            "offer": control.offer,
-            "throttles": control.throttles,
-            "evictions": control.evictions,
-            "share_by_attempt": dict(control.share_by_attempt),
+            "offer": controller.offered_share,
+            "throttles": controller.throttles,
+            "evictions": controller.evictions,
+            "share_by_attempt": dict(controller.share_by_attempt),
             "score_by_pair": {
                 f"{service} {job_class}": round(score, 4)
-                for (service, job_class), score in control.score_by_pair.items()
+                for (service, job_class), score in controller.score_by_pair.items()
             },
         }
 
@@ -108,13 +113,13 @@
         return Neighbour(
             attempt.id,
             attempt.job_class,
-            self._commitments.held_by_attempt[attempt.id].size.cores,
+            self._commitments.allocation_by_attempt[attempt.id].size.cores,
             used.cores,
-            self.control.share_by_attempt.get(attempt.id, 1.0),
+            self.controller.share_by_attempt.get(attempt.id, 1.0),
             attempt.urgent,
         )
 
-    def _take_usage(self, usage: WorkerUsage) -> None:
+    def _record_usage(self, usage: WorkerUsage) -> None:
         self._used_by_attempt = {
             AttemptId(task.replace("~", "/")): Resources(
                 amount.get("cores", 0.0), int(amount.get("memory_mb", 0))
@@ -124,24 +129,29 @@
         for attempt_id, used in self._used_by_attempt.items():
             attempt = self._attempts.attempt_by_id.get(attempt_id)
             if attempt is not None:
-                attempt.used = attempt.used.larger(used)
+                attempt.peak_usage = attempt.peak_usage.larger(used)
 
-    def _tails(self) -> dict[ServiceName, Tail]:
-        tails = {}
+    def _read_latencies(self) -> dict[ServiceName, LatencySummary]:
+        latency_by_service = {}
         for name, instance in self._services.instance_by_service.items():
             window = self._window_by_service.get(name)
             if window is None or window.histogram is not instance.latencies:
-                window = TailWindow(instance.latencies)
+                window = LatencyWindow(instance.latencies)
                 self._window_by_service[name] = window
-            tails[name] = window.look(instance.service.latency_target_seconds)
-        return tails
+            latency_by_service[name] = window.read(
+                instance.service.latency_target_seconds
+            )
+        return latency_by_service
 
-    async def _carry_out(self, step: Step) -> None:
-        attempt = self._attempts.attempt_by_id.get(step.attempt)
+    async def _apply(self, action: Action) -> None:
+        attempt = self._attempts.attempt_by_id.get(action.attempt)
         if attempt is None:
             return
-        if isinstance(step, Throttle):
-            await self._worker.throttle(step.attempt, step.share)
-        elif isinstance(step, Evict):
-            log.info("Evicting", extra={"attempt": step.attempt, "reason": step.reason})
-            await self._attempts.evict(attempt, step.reason)
+        if isinstance(action, Throttle):
+            await self._worker.throttle(action.attempt, action.share)
+        elif isinstance(action, Evict):
+            log.info(
+                "Evicting a batch attempt that slows services down",
+                extra={"attempt": action.attempt, "reason": action.reason},
+            )
+            await self._attempts.evict(attempt, action.reason)
--- a/wagtailcleat/agent/service_admission.py
+++ b/wagtailcleat/agent/service_admission.py
@@ -1,4 +1,4 @@
-"""Whether a service request may start on this VM: while it drains, none that is new."""
+"""Admission of service requests: while the agent is closed, no new one starts."""
 
 from collections.abc import Callable
 
@@ -9,42 +9,43 @@
 from wagtailcleat.wire.results import Refused
 
 QUEUED_GRACE_SECONDS = 2.0
-"""How long after the close requests from the queue may still start."""
+"""How long after the closing queued requests may still start."""
 
 
 class ServiceAdmission:
-    """Refuses requests to a closed VM, or to a service that isn't on it."""
+    """Refuses requests while the agent is closed, or to a service not on this VM."""
 
     def __init__(
         self,
         instance_by_service: dict[ServiceName, ServiceInstance],
         *,
-        closed: Callable[[], str],
+        closed_reason: Callable[[], str],
         clock: Clock,
     ) -> None:
         """Admit requests to the services of `instance_by_service`.
 
-        Parameters: `closed` tells why no new request is taken, or is empty.
+        Parameters: `closed_reason` returns why no new request is admitted, or an empty
+        string.
         """
         self._instance_by_service = instance_by_service
-        self._closed = closed
+        self._closed_reason = closed_reason
         self._clock = clock
         self._closed_at: float | None = None
 
-    def note_closed(self) -> None:
-        """Note since when no new request is taken, if so."""
-        if not self._closed():
+    def record_closing(self) -> None:
+        """Record when the agent closed, or that it is open."""
+        if not self._closed_reason():
             self._closed_at = None
         elif self._closed_at is None:
             self._closed_at = self._clock()
 
     def refusal(self, service: ServiceName, *, queued: bool = False) -> Refused | None:
-        """Return why a request may not start now, if so.
+        """Return the refusal of a request, or None if it may start now.
 
-        Parameters: `queued` tells that it was admitted before and has waited.
+        Parameters: `queued` is true if the request was admitted and waited for a slot.
         """
-        reason = self._closed()
-        self.note_closed()
+        reason = self._closed_reason()
+        self.record_closing()
         if reason and not (queued and self._in_grace()):
             return Refused(Code.NOT_RUN.value, reason, RETRY_AFTER_SECONDS)
         if service not in self._instance_by_service:
@@ -53,7 +54,8 @@
         return None
 
     def _in_grace(self) -> bool:
-        # A planned stop doesn't reject what waits in the queue, but for no longer
-        # than a leaving endpoint may receive new work.
+        # A planned stop does not refuse requests that wait in the queue. The grace
+        # period is no longer than the time in which a leaving endpoint may receive new
+        # requests.
         assert self._closed_at is not None
         return self._clock() - self._closed_at < QUEUED_GRACE_SECONDS
--- a/wagtailcleat/agent/service_instance.py
+++ b/wagtailcleat/agent/service_instance.py
@@ -1,4 +1,4 @@
-"""One service's instance on this VM: its endpoint, slots, queue and latencies."""
+"""Instance of one service on this VM: its endpoint, slots, queue and latencies."""
 
 import asyncio
 
@@ -19,10 +19,10 @@
 
 
 class ServiceInstance:
-    """The endpoint of a service, and the requests that run or wait there."""
+    """The endpoint of a service, with the requests that run or wait for a slot."""
 
     def __init__(self, service: Service, endpoint: Endpoint) -> None:
-        """Serve with the service's limits."""
+        """Serve at `endpoint` within the limits of `service`."""
         self.service = service
         self.endpoint = endpoint
         self.slots = Slots(service.slots, service.queue)
@@ -36,12 +36,12 @@
 
     @property
     def idle(self) -> bool:
-        """Whether nothing of the service runs or waits here."""
+        """Return whether no request or watcher runs or waits here."""
         return not (self.slots.in_use or self.slots.queued or self.watchers)
 
     @property
     def max_watchers(self) -> int:
-        """How many of the endpoint's connections are not needed for its slots."""
+        """Return the number of connections left for watchers, at least 1."""
         return max(1, self.service.connections - self.service.slots)
 
     def update(self, service: Service) -> None:
@@ -51,11 +51,11 @@
         self.slots.queue = service.queue
 
     def load(self) -> Load:
-        """Return how busy the service is here."""
+        """Return the number of requests in slots, of waiting ones and of slots."""
         return Load(self.slots.in_use, self.slots.queued, self.slots.slots)
 
     def record_latency(self, seconds: float) -> None:
-        """Count an answer of the endpoint that took `seconds`."""
+        """Record the latency of an answer of the endpoint."""
         self.latencies.record_value(max(1, int(seconds * MICROSECONDS)))
 
     def dump(self) -> dict[str, object]:
@@ -72,29 +72,29 @@
         }
 
     async def acquire(self, deadline: float, clock: Clock) -> Refuse | None:
-        """Take a slot, at once or from the queue; return a refusal otherwise."""
+        """Acquire a slot, at once or from the queue; return a refusal or None."""
         decision = self.slots.decide(deadline, clock())
         if isinstance(decision, Refuse):
             return decision
         if isinstance(decision, Wait):
-            return await self._queue(deadline, clock)
+            return await self._wait_for_slot(deadline, clock)
         self.slots.in_use += 1
         return None
 
     def release(self, seconds: float, now: float) -> None:
-        """Release a slot after `seconds` of work; the oldest waiter gets it."""
+        """Release a slot used for `seconds`; the longest-waiting request gets it."""
         self.slots.finished(seconds, now)
         self.release_unused()
 
     def release_unused(self) -> None:
-        """Release a slot in which nothing ran."""
+        """Release a slot that was not used, to the request that waited longest."""
         for waiter in self._waiters:
             if not waiter.done():
                 waiter.set_result(None)
                 return
         self.slots.in_use -= 1
 
-    async def _queue(self, deadline: float, clock: Clock) -> Refuse | None:
+    async def _wait_for_slot(self, deadline: float, clock: Clock) -> Refuse | None:
         waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._waiters.append(waiter)
         self.slots.queued += 1
@@ -118,7 +118,7 @@
 
 
 def endpoint_refusal(failure: EndpointFailed | None) -> Refused:
-    """Return what a caller is told where the endpoint gave no whole answer."""
+    """Return the refusal for a request without a complete answer."""
     if failure is None:
         unknown = Code.OUTCOME_UNKNOWN.value
         return Refused(unknown, "the endpoint gave no answer", RETRY_AFTER_SECONDS)
--- a/wagtailcleat/agent/service_requests.py
+++ b/wagtailcleat/agent/service_requests.py
@@ -1,4 +1,7 @@
-"""Runs each service request at most once, and tells what became of it."""
+"""Runs each service request at most once, and answers what its outcome was.
+
+Entries send the requests; they settle one whose answer they did not get.
+"""
 
 import asyncio
 import hashlib
@@ -38,7 +41,7 @@
 
 
 class ServiceRequests:
-    """Answers entries' requests and settles, from the ledger where it knows them."""
+    """Handles requests and settles of entries; the ledger answers known ids."""
 
     def __init__(
         self,
@@ -65,7 +68,7 @@
         self._running: set[asyncio.Task[None]] = set()
 
     def by_message(self) -> Handlers:
-        """Return the handler of each message."""
+        """Return the handlers by message class."""
         return {ServiceRequest: self._on_request, Settle: self._on_settle}
 
     async def _on_request(
@@ -90,8 +93,8 @@
         return await asyncio.shield(entry.outcome)
 
     def _run_in_background(self, message: ServiceRequest) -> None:
-        # The run must not end with the stream that brought the request: its
-        # outcome is what a settle over a new stream asks for.
+        # The request must not be cancelled when the stream that carried it closes: a
+        # settle over a new stream asks for its outcome.
         deadline = self._clock() + message.deadline
         task = asyncio.create_task(self._run(message, deadline))
         self._running.add(task)
@@ -102,7 +105,10 @@
         try:
             outcome = await self._outcome(message, deadline)
         except Exception:
-            log.exception("A request failed", extra={"request": message.id})
+            log.exception(
+                "Service request failed in the agent; outcome unknown",
+                extra={"request": message.id},
+            )
             outcome = Refused(Code.OUTCOME_UNKNOWN.value, "the agent failed")
         finally:
             self.in_flight -= 1
@@ -146,8 +152,9 @@
         self, stream: Stream, message: AnyMessage, outlet: Outlet
     ) -> AnyMessage:
         assert isinstance(message, Settle)
-        # The peer asks because one of its older streams failed. What is still in
-        # that stream must never be read, even after the ledger has forgotten it.
+        # The peer settles because one of its older streams failed. Requests still
+        # buffered in that stream must never be read, not even after their ledger
+        # entries have expired.
         self._close_older(stream)
         if message.incarnation != self._incarnation:
             return _wrong_incarnation()
@@ -163,8 +170,8 @@
             return Running()
 
     def _refuse_late_original(self, message: Settle) -> Refused:
-        # The original may still arrive over a connection that has gone silent: the
-        # refusal kept here is what makes `not_run` true when it does.
+        # The original may still arrive over a connection that has gone silent. The
+        # refusal in the ledger keeps it from running, so that `not_run` stays true.
         refusal = Refused(Code.NOT_RUN.value, "the request never arrived")
         keep_until = self._keep_until(keyed=is_keyed(message.id))
         self._ledger.close(message.id, refusal, keep_until=keep_until)
@@ -177,7 +184,7 @@
 
 
 def _digest(message: ServiceRequest) -> bytes:
-    # Only a keyed id can come again with another request.
+    # Only an id that is an idempotency key can be reused for another request.
     if not message.keep:
         return b""
     head = "\n".join((message.service, message.method, message.path))
--- a/wagtailcleat/agent/service_watches.py
+++ b/wagtailcleat/agent/service_watches.py
@@ -1,8 +1,8 @@
-"""Relays event streams from an endpoint to callers that watch, part by part."""
+"""Relays event streams from an endpoint to watchers, part by part."""
 
 import asyncio
 
-from wagtailcleat.agent.endpoint import EndpointFailed, Watching
+from wagtailcleat.agent.endpoint import EndpointFailed, EndpointStream
 from wagtailcleat.agent.service_admission import ServiceAdmission
 from wagtailcleat.agent.service_instance import (
     RETRY_AFTER_SECONDS,
@@ -20,24 +20,24 @@
 
 
 class ServiceWatches:
-    """The event streams open at this agent."""
+    """The event streams that are open at this agent."""
 
     def __init__(
         self,
         instance_by_service: dict[ServiceName, ServiceInstance],
         admission: ServiceAdmission,
     ) -> None:
-        """Relay from the endpoints of `instance_by_service`."""
+        """Relay events from the endpoints of `instance_by_service`."""
         self._instance_by_service = instance_by_service
         self._admission = admission
         self._ending = asyncio.Event()
 
     def end_all(self) -> None:
-        """End all event streams; their callers resume elsewhere."""
+        """End all event streams; their watchers resume at another agent."""
         self._ending.set()
 
     async def serve(self, message: ServiceRequest, outlet: Outlet) -> AnyMessage:
-        """Relay the endpoint's events to `outlet` until either side ends."""
+        """Relay the endpoint's events to `outlet`; return the final message."""
         refusal = self._admission.refusal(message.service)
         if refusal is not None:
             return refusal
@@ -53,7 +53,10 @@
 
 
 class _Relay:
-    """One event stream, with a queue between the endpoint and a slower caller."""
+    """One event stream, with a queue for a watcher slower than the endpoint.
+
+    It ends the stream if the queue reaches `MAX_PARTS_QUEUED`.
+    """
 
     def __init__(
         self,
@@ -69,29 +72,29 @@
         self._items: asyncio.Queue[Answer | Part | EndpointFailed | None] = (
             asyncio.Queue()
         )
-        self._watching = Watching(self._on_head, self._on_data)
+        self._stream = EndpointStream(self._on_head, self._on_data)
 
     async def run(self) -> AnyMessage:
-        """Relay head and parts; return what ends the stream."""
+        """Relay head and parts; return the message that ends the stream."""
         reading = asyncio.create_task(self._read())
         ending = asyncio.create_task(self._await_ending())
         try:
             return await self._forward()
         finally:
-            self._watching.abort()
+            self._stream.abort()
             reading.cancel()
             ending.cancel()
 
     async def _forward(self) -> AnyMessage:
-        headed = False
+        head_sent = False
         while True:
             item = await self._items.get()
             if isinstance(item, Answer):
-                headed = True
+                head_sent = True
                 await self._outlet.head(item)
             elif isinstance(item, Part):
                 await self._outlet.part(item)
-            elif headed:
+            elif head_sent:
                 return PartsEnd(whole=item is None)
             else:
                 return endpoint_refusal(item)
@@ -104,11 +107,11 @@
         if self._items.qsize() < MAX_PARTS_QUEUED:
             self._items.put_nowait(Part(data))
         else:
-            self._watching.abort()
+            self._stream.abort()
 
     async def _read(self) -> None:
         endpoint = self._instance.endpoint
-        self._items.put_nowait(await endpoint.watch(self._message, self._watching))
+        self._items.put_nowait(await endpoint.watch(self._message, self._stream))
 
     async def _await_ending(self) -> None:
         await self._ending.wait()
--- a/wagtailcleat/agent/services.py
+++ b/wagtailcleat/agent/services.py
@@ -1,4 +1,4 @@
-"""The services side of an agent: which services it serves, and how it drains them."""
+"""Services of an agent: which ones it serves, their health checks and their drain."""
 
 import asyncio
 from collections.abc import Callable
@@ -19,7 +19,7 @@
 
 
 class Services:
-    """All services at this agent, and the ledger of their requests."""
+    """All services on this VM, and the ledger of their requests."""
 
     def __init__(
         self,
@@ -28,15 +28,15 @@
         incarnation: Incarnation,
         clock: Clock,
         timing: Timing,
-        closed: Callable[[], str],
+        closed_reason: Callable[[], str],
         close_older: CloseOlder,
         max_answer_bytes: int,
         kept_answer_bytes: int,
     ) -> None:
         """Serve the endpoints of this VM.
 
-        Parameters: `closed` tells why no new request is taken (the zone is out,
-        the process leaves), or is empty.
+        Parameters: `closed_reason` returns why no new request is admitted (the zone is
+        out, the agent leaves), or an empty string.
         """
         self.ledger = Ledger(max_bytes=kept_answer_bytes)
         self.instance_by_service: dict[ServiceName, ServiceInstance] = {}
@@ -45,7 +45,7 @@
         self._clock = clock
         self._max_answer_bytes = max_answer_bytes
         self._admission = ServiceAdmission(
-            self.instance_by_service, closed=closed, clock=clock
+            self.instance_by_service, closed_reason=closed_reason, clock=clock
         )
         self._watches = ServiceWatches(self.instance_by_service, self._admission)
         self._requests = ServiceRequests(
@@ -61,15 +61,18 @@
 
     @property
     def in_flight(self) -> int:
-        """How many requests run or wait."""
+        """Return the number of requests that run or wait for a slot."""
         return self._requests.in_flight
 
     def configure(self, services: list[Service]) -> None:
-        """Apply the services that the configuration places on this VM."""
+        """Apply the list of services that the configuration places on this VM.
+
+        A service that is no longer listed is closed if nothing of it runs or waits.
+        """
         by_name = {ServiceName(s.name): s for s in services}
         for name, service in by_name.items():
             self._add_or_update(name, service)
-        self.note_closed()
+        self.record_closing()
         for name in [n for n in self.instance_by_service if n not in by_name]:
             if self.instance_by_service[name].idle:
                 self.instance_by_service.pop(name).endpoint.close()
@@ -88,21 +91,21 @@
             )
             self.instance_by_service[name] = ServiceInstance(service, endpoint)
 
-    def note_closed(self) -> None:
-        """Note since when no new request is taken, if so."""
-        self._admission.note_closed()
+    def record_closing(self) -> None:
+        """Record when the agent closed, or that it is open."""
+        self._admission.record_closing()
 
-    async def check(self) -> None:
-        """Check which endpoints take connections; expire entries of the ledger."""
+    async def check_endpoints(self) -> None:
+        """Check which endpoints accept connections; expire ledger entries."""
         self.ledger.expire(self._clock())
         for name, instance in list(self.instance_by_service.items()):
-            if await instance.endpoint.answers():
+            if await instance.endpoint.accepts_connections():
                 self.answering.add(name)
             else:
                 self.answering.discard(name)
 
     def handlers(self) -> Handlers:
-        """Return what answers each message of this part."""
+        """Return the handlers of service messages by message class."""
         return self._requests.by_message()
 
     def dump(self) -> dict[str, object]:
@@ -112,15 +115,15 @@
             for name, instance in self.instance_by_service.items()
         }
 
-    async def drained(self) -> None:
-        """End the watchers, which resume elsewhere; wait for what is in flight."""
-        self.note_closed()
+    async def drain(self) -> None:
+        """End the event streams; wait until no request runs or waits for a slot."""
+        self.record_closing()
         self._watches.end_all()
-        # Only what holds or awaits a slot: requests that are refused come and go.
+        # Only requests with a slot or in the queue count: refused ones still arrive.
         while not all(i.idle for i in self.instance_by_service.values()):  # noqa: ASYNC110
             await asyncio.sleep(DRAIN_POLL_SECONDS)
 
     def close(self) -> None:
-        """Close every endpoint's connections."""
+        """Close the connections to all endpoints."""
         for instance in self.instance_by_service.values():
             instance.endpoint.close()
--- a/wagtailcleat/agent/shard_hosting.py
+++ b/wagtailcleat/agent/shard_hosting.py
@@ -1,4 +1,4 @@
-"""The shards that this agent owns, and the messages that their owners answer."""
+"""Shards that this agent owns: connects their ownership and message handlers."""
 
 from collections.abc import Callable
 
@@ -23,7 +23,7 @@
 
 
 class ShardHosting:
-    """Wires the ownership of shards into a node."""
+    """Connects the ownership of shards with a node and its messages."""
 
     def __init__(
         self,
@@ -31,11 +31,12 @@
         settings: AgentSettings,
         *,
         wall_clock: Clock,
-        closed: Callable[[], str],
+        closed_reason: Callable[[], str],
     ) -> None:
         """Own a share of the shards.
 
-        Parameters: `closed` tells why no shard may be taken, or is empty.
+        Parameters: `closed_reason` returns why no shard may be claimed, or an empty
+        string.
         """
         self._node = node
         self._settings = settings
@@ -50,17 +51,17 @@
             rng=node.rng("ownership"),
             make_owner=self._make_owner,
             announce=self._announce,
-            closed=closed,
+            closed=closed_reason,
             may_own=self._may_own,
         )
 
     def by_message(self) -> PlainHandlers:
-        """Return the handler of each message."""
+        """Return the handlers by message class."""
         handlers: PlainHandlers = dict.fromkeys(OWNER_MESSAGES, self._on_owner_message)
         return handlers | {StepDown: self._on_step_down}
 
     def dump(self) -> dict[str, object]:
-        """Return the state of each shard owned for the state dump."""
+        """Return the state of each owned shard for the state dump."""
         owners = self.ownership.owner_by_shard
         return {str(shard): owner.dump() for shard, owner in owners.items()}
 
@@ -84,8 +85,8 @@
         return Owner(owned, earlier)
 
     def _may_own(self, member: Member) -> bool:
-        # An agent in a zone that is out takes no shards: if it counted as a
-        # candidate, a shard might be left without an owner.
+        # An agent in a zone that is out claims no shards. If it counted as a
+        # candidate, a shard could be left without an owner.
         return not zone_is_out(self._node.in_force.configuration, member.zone)
 
     def _announce(self) -> None:
--- a/wagtailcleat/agent/state_server.py
+++ b/wagtailcleat/agent/state_server.py
@@ -1,4 +1,4 @@
-"""The agent's HTTP server: the state dump and the metrics, for operators."""
+"""HTTP application of the agent for operators: the state dump and the metrics."""
 
 from tornado.web import Application, RequestHandler
 
--- a/wagtailcleat/agent/task_monitor.py
+++ b/wagtailcleat/agent/task_monitor.py
@@ -1,4 +1,4 @@
-"""Polls the worker: records ends, renews leases, stops what may not go on."""
+"""Polls the worker: records ends, renews leases and evicts what must not go on."""
 
 import asyncio
 from collections.abc import Callable
@@ -21,7 +21,7 @@
 
 
 class TaskMonitor:
-    """Keeps the table of attempts in line with the worker's tasks."""
+    """Keeps the attempt table consistent with the worker's task list."""
 
     def __init__(
         self,
@@ -30,21 +30,22 @@
         worker: Worker,
         *,
         timing: Timing,
-        must_leave: Callable[[], str],
+        evict_all_reason: Callable[[], str],
     ) -> None:
-        """Poll `worker` for the attempts of `table`.
+        """Poll `worker` for the attempts in `table`.
 
-        Parameters: `must_leave` tells why no task may stay, or is empty.
+        Parameters: `evict_all_reason` returns why all tasks must be evicted, or an
+        empty string.
         """
         self._table = table
         self._evictor = evictor
         self._worker = worker
         self._timing = timing
-        self._must_leave = must_leave
+        self._evict_all_reason = evict_all_reason
         self._poll_requested = asyncio.Event()
 
     def request_poll(self) -> None:
-        """Poll at once: the configuration changed."""
+        """Request a poll without delay, after a new configuration."""
         self._poll_requested.set()
 
     async def run(self) -> None:
@@ -60,38 +61,38 @@
             self._poll_requested.clear()
 
     async def poll(self) -> None:
-        """Compare the attempts with the worker's tasks once."""
-        self._drop_lapsed_reservations()
+        """Update the attempts from the worker's task list once."""
+        self._drop_expired_reservations()
         if not self._table.running():
             return
         await self._evict_excess()
-        asked_at = self._table.clock()
+        listed_at = self._table.clock()
         tasks = await self._worker.tasks()
         if isinstance(tasks, WorkerUnreachable):
             return
         task_by_attempt = {task.attempt: task for task in tasks}
         await asyncio.gather(
             *(
-                self._update(attempt, task_by_attempt.get(attempt.id), asked_at)
+                self._update(attempt, task_by_attempt.get(attempt.id), listed_at)
                 for attempt in self._table.running()
             )
         )
         await self._renew_leases(task_by_attempt)
 
     async def _evict_excess(self) -> None:
-        # Operators may take the zone out, shrink the VM or place a service on it
-        # while tasks run.
-        reason = self._must_leave()
+        # While tasks run, operators may take the zone out of service, reduce the VM's
+        # capacity or place a service on it.
+        reason = self._evict_all_reason()
         if reason:
             await self._evictor.evict_all(reason)
         else:
             await self._evictor.enforce_capacity()
 
     async def _update(
-        self, attempt: Attempt, task: WorkerTask | None, asked_at: float
+        self, attempt: Attempt, task: WorkerTask | None, listed_at: float
     ) -> None:
         if task is None:
-            if not self._may_be_unlisted(attempt, asked_at):
+            if not self._may_be_unlisted(attempt, listed_at):
                 self._table.end(attempt, WorkerTask(attempt.id, TaskState.LAPSED))
             return
         if task.state is not TaskState.RUNNING:
@@ -103,16 +104,16 @@
         if self._table.clock() > attempt.grant_until - margin:
             await self._evictor.evict(attempt, "its grant is ending")
 
-    def _may_be_unlisted(self, attempt: Attempt, asked_at: float) -> bool:
-        # A start may be on its way to the worker until its lease has lapsed.
-        if attempt.phase is Phase.STARTING and asked_at < attempt.reserved_until:
+    def _may_be_unlisted(self, attempt: Attempt, listed_at: float) -> bool:
+        # A start may still reach the worker until its lease has expired.
+        if attempt.phase is Phase.STARTING and listed_at < attempt.reserved_until:
             return True
-        # It may have been started after the worker made the list.
-        return attempt.since >= asked_at
+        # The task may have been started after the worker made the list.
+        return attempt.phase_since >= listed_at
 
     async def _renew_leases(self, task_by_attempt: dict[AttemptId, WorkerTask]) -> None:
-        # If a renewal did not reach the worker, the task would lapse although its
-        # grant goes on.
+        # If an earlier renewal did not reach the worker, its lease would expire before
+        # the grant.
         grant_until_by_attempt = {
             attempt.id: attempt.grant_until
             for attempt in self._table.running()
@@ -122,7 +123,7 @@
         if grant_until_by_attempt:
             await self._worker.renew(grant_until_by_attempt)
 
-    def _drop_lapsed_reservations(self) -> None:
+    def _drop_expired_reservations(self) -> None:
         now = self._table.clock()
         for attempt in self._table.reserved():
             if now > attempt.reserved_until:
