--- a/wagtailcleat/agent/attempt_table.py
+++ b/wagtailcleat/agent/attempt_table.py
@@ -9,7 +9,7 @@
 from enum import Enum
 
 from wagtailcleat.agent.commitments import Commitments
-from wagtailcleat.agent.failure_backoff import MIN_HEALTHY_SECONDS, FailureBackoff
+from wagtailcleat.agent.health import MIN_HEALTHY_SECONDS, FailureBackoff
 from wagtailcleat.clock import Clock
 from wagtailcleat.ids import AttemptId, JobId, ShardId
 from wagtailcleat.platform.worker import TaskState, WorkerTask
--- a/wagtailcleat/agent/evictor.py
+++ b/wagtailcleat/agent/evictor.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from wagtailcleat.agent.attempt_table import Attempt, AttemptTable, Phase
-from wagtailcleat.agent.eviction_selection import select_evictions
+from wagtailcleat.agent.eviction import select_evictions
 from wagtailcleat.ids import AttemptId
 from wagtailcleat.platform.worker import TaskState, Worker, WorkerTask
 from wagtailcleat.resources import NOTHING, Resources
