--- a/features/lost_answers.feature
+++ b/features/lost_answers.feature
@@ -1,12 +1,12 @@
-Feature: A request is never repeated behind the caller's back
+Feature: A request is never repeated without its caller's knowledge
 
-  A caller charges a card once and the endpoint books it twice. Order: the agent's
-  kept connection to the endpoint is used once; on the second request the endpoint
-  runs it and closes without an answer; the HTTP client library sends it again on a
-  new connection by itself. Cause: libcurl repeats on a reused connection.
+  Guards against a charge that a caller sends once and the endpoint runs twice. The agent
+  reuses a kept-alive connection to the endpoint; the endpoint runs the second request on
+  it and closes the connection without an answer. libcurl, which repeats requests on
+  reused connections, then sends the request again on a new one without notice.
 
-  Scenario: A charge whose answer is lost runs once and is said to be unknown
+  Scenario: A charge whose answer is lost runs once and is answered as unknown
     Given a deployment of two entries and three agents in two availability zones
     And the operator has applied its inventory and the rules of team "travel-desk"
-    When each endpoint has answered a charge and then loses the answer to the next
-    Then the caller hears "outcome_unknown" and no charge has run twice
+    When each endpoint answers a charge and then loses the answer to the next one
+    Then the caller is answered "outcome_unknown" and no charge has run twice
--- a/features/steps/deployment_steps.py
+++ b/features/steps/deployment_steps.py
@@ -1,4 +1,4 @@
-"""Steps on a whole deployment of real processes."""
+"""Steps on a complete deployment of separate processes."""
 
 import json
 
@@ -7,29 +7,29 @@
 from standins.cluster import Cluster
 from standins.processes import http, wait_for
 
-QUICK = {"reservation": 0.5, "grant": 3.0, "ownership": 2, "gossip": 0.2}
-PATIENCE_SECONDS = 15
+SHORT_TIMING = {"reservation": 0.5, "grant": 3.0, "ownership": 2, "gossip": 0.2}
+WAIT_TIMEOUT_SECONDS = 15
 
 
 def url(context, path, entry=None):
-    """Return the address of a path on an entry's callers' port."""
+    """Return the URL of a path on the callers' port of an entry."""
     process = entry or context.cluster.entry
     return f"http://127.0.0.1:{process.ready['http_port']}{path}"
 
 
 def call_until(context, status, method, path, body=None, headers=None):
-    """Repeat a call until it is answered with `status`; return the answer."""
+    """Repeat a call until the answer has `status`; return the answer."""
 
     def attempt():
         answer = http(method, url(context, path), body, headers)
         return answer if answer.status == status else None
 
-    return wait_for(attempt, PATIENCE_SECONDS, f"{method} {path} answers {status}")
+    return wait_for(attempt, WAIT_TIMEOUT_SECONDS, f"{method} {path} answers {status}")
 
 
 @given("a deployment of two entries and three agents in two availability zones")
 def step_deployment(context):
-    context.cluster = Cluster(timing=QUICK)
+    context.cluster = Cluster(timing=SHORT_TIMING)
     context.add_cleanup(context.cluster.close)
 
 
@@ -46,8 +46,8 @@
     context.answer = call_until(context, 200, "POST", path, body.encode(), headers)
 
 
-@then("the endpoint's whole answer reaches the caller")
-def step_whole(context):
+@then("the endpoint's complete answer reaches the caller")
+def step_complete_answer(context):
     seen = context.answer.json()
     assert seen["method"] == "POST", seen
     assert seen["path"] == "/hold/7", seen
@@ -76,7 +76,7 @@
         account = answer.json()
         return account if account.get("state") == state else None
 
-    account = wait_for(ended, PATIENCE_SECONDS, f"the job is {state}")
+    account = wait_for(ended, WAIT_TIMEOUT_SECONDS, f"the job is {state}")
     assert account["succeeded"] == count, account
 
 
@@ -98,4 +98,4 @@
         nodes = context.cluster.admin("GET", "/admin/nodes").json()["nodes"]
         return [n["revision"] for n in nodes] == [revision] * count
 
-    wait_for(everywhere, PATIENCE_SECONDS, f"revision {revision} everywhere")
+    wait_for(everywhere, WAIT_TIMEOUT_SECONDS, f"revision {revision} everywhere")
--- a/features/steps/lost_answers_steps.py
+++ b/features/steps/lost_answers_steps.py
@@ -1,4 +1,4 @@
-"""Steps on answers that an endpoint loses after it ran the request."""
+"""Steps on answers that are lost after the endpoint has run the request."""
 
 from collections import Counter
 
@@ -10,8 +10,8 @@
 CHARGES_TO_REACH_ALL = 40
 
 
-@when("each endpoint has answered a charge and then loses the answer to the next")
-def step_lose(context):
+@when("each endpoint answers a charge and then loses the answer to the next one")
+def step_lose_answers(context):
     cluster = context.cluster
     call_until(context, 200, "POST", "/services/booking-core/charge", b"1")
     for _ in range(CHARGES_TO_REACH_ALL):
@@ -21,8 +21,8 @@
     context.answer = http("POST", url(context, "/services/booking-core/charge"), b"2")
 
 
-@then('the caller hears "{code}" and no charge has run twice')
-def step_once(context, code):
+@then('the caller is answered "{code}" and no charge has run twice')
+def step_no_charge_twice(context, code):
     runs = Counter(
         row[3] for vm in context.cluster.vm_by_name for row in context.cluster.runs(vm)
     )
--- a/features/steps/members_steps.py
+++ b/features/steps/members_steps.py
@@ -5,7 +5,7 @@
 from behave import given, then, when
 from msgspec.structs import replace
 
-from features.steps.deployment_steps import PATIENCE_SECONDS, url
+from features.steps.deployment_steps import WAIT_TIMEOUT_SECONDS, url
 from standins.in_process_nodes import Deployment
 from standins.processes import http, wait_for
 from wagtailcleat.clock import boot_time
@@ -35,7 +35,7 @@
         http("GET", url(context, "/services/booking-core/hold", entry))
         return all(context.cluster.runs(vm) for vm in context.cluster.vm_by_name)
 
-    wait_for(all_ran, PATIENCE_SECONDS, "a run at every endpoint")
+    wait_for(all_ran, WAIT_TIMEOUT_SECONDS, "a run at every endpoint")
 
 
 @given('only the endpoints of zone "{zone}" still run')
@@ -52,7 +52,7 @@
 
     wait_for(
         endpoints_withdrawn,
-        PATIENCE_SECONDS,
+        WAIT_TIMEOUT_SECONDS,
         "the other endpoints are known to be gone",
     )
 
@@ -71,7 +71,7 @@
     def long_enough():
         return boot_time() - context.paused_at > seconds
 
-    wait_for(long_enough, PATIENCE_SECONDS, f"a pause of {seconds} s")
+    wait_for(long_enough, WAIT_TIMEOUT_SECONDS, f"a pause of {seconds} s")
 
 
 @when(
--- a/features/steps/requests_steps.py
+++ b/features/steps/requests_steps.py
@@ -1,4 +1,4 @@
-"""Steps on service requests: whole answers, refusals, runs, leaving."""
+"""Steps on service requests: answers, refusals, runs, and graceful shutdown."""
 
 import asyncio
 import json
@@ -15,16 +15,16 @@
 from wagtailcleat.wire.dumps import Dump, DumpState
 from wagtailcleat.wire.parts import Lost
 
-PATIENCE = 15
-KEPT_SECONDS = 3.0
-HALF_SENT_SECONDS = 0.3
+WAIT_TIMEOUT_SECONDS = 15
+RETENTION_SECONDS = 3.0
+UPLOAD_PAUSE_SECONDS = 0.3
 TIMING = {
     "reservation": 0.5,
     "grant": 3.0,
     "ownership": 2,
     "gossip": 0.2,
     "endpoint_check": 0.3,
-    "answers_kept": KEPT_SECONDS,
+    "answers_kept": RETENTION_SECONDS,
     "connect": 0.5,
     "balancer_notice": 0.6,
     "drain": 8.0,
@@ -33,7 +33,7 @@
     VmOptions("vm-1", "zilina-a", "rack-a1"),
     VmOptions("vm-2", "zilina-b", "rack-b1"),
 )
-STARTED = ("cluster", "link", "agent_port")
+SHARED_NAMES = ("cluster", "link", "agent_port")
 SERVICE = "/services/booking-core"
 
 
@@ -46,7 +46,7 @@
     return list(context.cluster.entry_by_node.values())
 
 
-def serving(context, entry):
+def serves_with_all_agents(context, entry):
     try:
         state = http("GET", url(context, "/ready", entry))
         nodes = context.cluster.admin("GET", "/admin/nodes", entry=entry).json()
@@ -62,14 +62,16 @@
     context.add_cleanup(context.cluster.close)
 
 
-@given("the feature's two entries and two agents, the first agent behind a link")
+@given(
+    "two entries and two agents that the feature shares, the first agent behind a link"
+)
 def step_shared_cluster(context):
     shared = context.feature.__dict__
     if "cluster" not in shared:
         start(context)
         context.add_cleanup(context.cluster.close, layer="feature")
-        shared |= {name: getattr(context, name) for name in STARTED}
-    for name in STARTED:
+        shared |= {name: getattr(context, name) for name in SHARED_NAMES}
+    for name in SHARED_NAMES:
         setattr(context, name, shared[name])
     context.link.faults()
     for endpoint in context.cluster.endpoint_by_vm_and_service.values():
@@ -91,10 +93,14 @@
     agent.start()
     assert cluster.apply().status == 200
     for entry in entries(context):
-        wait_for(lambda e=entry: serving(context, e), PATIENCE, "both agents serve")
+        wait_for(
+            lambda e=entry: serves_with_all_agents(context, e),
+            WAIT_TIMEOUT_SECONDS,
+            "the entry reaches both agents",
+        )
     wait_for(
         lambda: all(cluster.runs(vm.name) or warm_up(context) for vm in VMS),
-        PATIENCE,
+        WAIT_TIMEOUT_SECONDS,
         "requests reach both endpoints",
     )
 
@@ -104,11 +110,8 @@
         http("POST", url(context, "/warm-up", entry))
 
 
-# ---- whole answers
-
-
-@when("{count:d} callers ask at once, each for another size after another delay")
-def step_crossed(context, count):
+@when("{count:d} callers request answers of different sizes and delays at once")
+def step_concurrent_callers(context, count):
     def ask(number):
         delay = (number * 7 % 10) / 50
         path = f"/own/{number}?size={1000 + number}&delay={delay}"
@@ -119,8 +122,8 @@
         context.answers = list(pool.map(ask, range(count)))
 
 
-@then("each has its own answer, whole")
-def step_own(context):
+@then("each has received its own complete answer")
+def step_own_answers(context):
     for number, answer in context.answers:
         if answer.status != 503:
             assert answer.status == 200, answer
@@ -128,25 +131,25 @@
     assert sum(a.status == 200 for _, a in context.answers) >= 16
 
 
-@then("an answer of {size:d} bytes comes whole")
+@then("an answer of {size:d} bytes arrives complete")
 def step_large_answer(context, size):
     answer = http("GET", url(context, f"/large?size={size}"))
     assert (answer.status, len(answer.body)) == (200, size), answer
 
 
-@then("a body of {size:d} bytes reaches the endpoint whole")
+@then("a request body of {size:d} bytes reaches the endpoint complete")
 def step_large_body(context, size):
     answer = http("PUT", url(context, "/upload?echo=1"), b"y" * size)
     assert answer.json()["body"] == "y" * size, answer
 
 
-@then("a HEAD has the length that the GET has")
+@then("a HEAD answer states the length of the GET answer")
 def step_head(context):
     answer = http("HEAD", url(context, "/sized?size=1234"))
     assert (answer.status, answer.headers["content-length"]) == (200, "1234"), answer
 
 
-@then('the path "{path}" reaches the endpoint as it was sent')
+@then('the path "{path}" reaches the endpoint unchanged')
 def step_path(context, path):
     caller = Caller(context.cluster.entry)
     seen = caller.call("GET", f"{SERVICE}{path}&echo=1")
@@ -156,15 +159,15 @@
     assert shown["query"]["x"] == ["A", "2"], shown
 
 
-@then("an answer 204 and an answer 304 come without a body")
+@then("an answer 204 and an answer 304 have no body")
 def step_bodiless(context):
     for status in (204, 304):
         answer = http("GET", url(context, f"/none?status={status}"))
         assert (answer.status, answer.body) == (status, b""), answer
 
 
-@then('a body that breaks off is answered "{code}"')
-def step_cut(context, code):
+@then('an answer body that breaks off is reported as "{code}"')
+def step_broken_off_body(context, code):
     for vm in VMS:
         endpoint = context.cluster.endpoint_by_vm_and_service[vm.name, "booking-core"]
         endpoint.faults(cut_body=True)
@@ -172,32 +175,31 @@
     assert answer.json()["code"] == code, answer
 
 
-# ---- silence and late arrivals
-
-
 @when("the link goes silent and callers post for {seconds:d} seconds")
-def step_silent(context, seconds):
+def step_silent_link(context, seconds):
     load = Load(context.cluster, 6)
-    wait_for(lambda: len(load.seen) > 30, PATIENCE, "the load runs")
+    wait_for(lambda: len(load.seen) > 30, WAIT_TIMEOUT_SECONDS, "the load runs")
     context.link.faults(silent=True)
     time.sleep(seconds)
     context.seen = load.stop()
 
 
-@when("the link holds everything back for {seconds:g} seconds while callers post")
-def step_held(context, seconds):
+@when("the link delays all data for {seconds:g} seconds while callers post")
+def step_delayed(context, seconds):
     load = Load(context.cluster, 6)
-    wait_for(lambda: len(load.seen) > 30, PATIENCE, "the load runs")
+    wait_for(lambda: len(load.seen) > 30, WAIT_TIMEOUT_SECONDS, "the load runs")
     context.link.faults(hold=True)
     time.sleep(seconds)
     context.link.faults()
     after = len(load.seen)
-    wait_for(lambda: len(load.seen) > after + 100, PATIENCE, "the load goes on")
+    wait_for(
+        lambda: len(load.seen) > after + 100, WAIT_TIMEOUT_SECONDS, "the load goes on"
+    )
     context.seen = load.stop()
 
 
-@then("what they were told is true by the endpoints' records")
-def step_true(context):
+@then("what the callers were answered agrees with the endpoints' records")
+def step_answers_match_records(context):
     found = problems(context.cluster, context.seen)
     assert not found, found[:10]
 
@@ -207,38 +209,35 @@
 @then("every post was answered 200 within {seconds:g} seconds")
 def step_all_answered(context, code="", seconds=None):
     made = [s for s in context.seen if s.error != "not connected"]
-    odd = [s for s in made if s.status != 200 and not (code and s.code == code)]
-    assert not odd, (len(made), odd[:10])
+    unexpected = [s for s in made if s.status != 200 and not (code and s.code == code)]
+    assert not unexpected, (len(made), unexpected[:10])
     assert len(made) > 50, len(made)
 
 
-# ---- an agent's own word
-
-
 def agent_state(context):
     return http("GET", f"{context.cluster.agent_by_vm['vm-1'].url}/state").json()
 
 
-def told_twice(context, first, number, path):
-    """Return the codes that a peer is told, which leaves a stream for another."""
+def settle_and_send(context, first, number, path):
+    """Settle, then send a request on a peer's second stream; return both codes."""
     incarnation = agent_state(context)["incarnation"]
     request_id = f"peer-1.1.r{number}"
 
     async def run():
         older = Peer("peer-1", 1, context.agent_port)
         newer = Peer("peer-1", 1, context.agent_port)
-        given_up = await older.stream()
-        # An answer shows that the agent serves this stream before the newer one opens.
+        closed_stream = await older.stream()
+        # The answer shows that the agent serves this stream before the newer one opens.
         assert isinstance(await older.call(DumpState(["node"])), Dump)
         if first is not None:
             await first(older, incarnation, request_id)
         answers = [await newer.call(settle(incarnation, request_id))]
         late = request(incarnation, request_id, path)
         answers.append(await newer.call(late))
-        # In a connection that the peer has given up, the original must not even
+        # The settle closes the peer's older streams: a request on them must not even
         # be read.
         unread = request(incarnation, "peer-1.1.r99", path)
-        assert isinstance(await given_up.call(unread, timeout=1.0), Lost)
+        assert isinstance(await closed_stream.call(unread, timeout=1.0), Lost)
         older.close()
         newer.close()
         return [getattr(answer, "code", answer) for answer in answers]
@@ -246,46 +245,45 @@
     return asyncio.run(run())
 
 
-@when("a peer settles a request that never came and then sends it")
+@when("a peer settles a request before it sends it")
 def step_late_original(context):
-    context.codes = told_twice(context, None, 7, "/late")
+    context.codes = settle_and_send(context, None, 7, "/late")
     context.path = "/late"
 
 
-@when("a peer settles a request that ran so long ago that it is forgotten")
-def step_forgotten(context):
+@when("a peer settles a request that has run and whose record has expired")
+def step_expired_record(context):
     async def run_and_wait(peer, incarnation, request_id):
         answer = await peer.call(request(incarnation, request_id, "/once"))
         assert answer.status == 200, answer
         wait_for(
-            lambda: not agent_state(context)["ledger"], PATIENCE, "it is forgotten"
+            lambda: not agent_state(context)["ledger"],
+            WAIT_TIMEOUT_SECONDS,
+            "its record has expired",
         )
 
-    context.codes = told_twice(context, run_and_wait, 8, "/once")
+    context.codes = settle_and_send(context, run_and_wait, 8, "/once")
     context.path = "/once"
 
 
-@then('the agent says "{code}" both times and the request has not run')
+@then('the agent answers "{code}" both times and the request has not run')
 def step_not_run(context, code):
     assert context.codes == [code, code], context.codes
     assert count_runs(context.cluster)[context.path] == 0
 
 
-@then('the agent says "{code}" both times and the request has run once')
+@then('the agent answers "{code}" both times and the request has run once')
 def step_ran_once(context, code):
     assert context.codes == [code, code], context.codes
     assert count_runs(context.cluster)[context.path] == 1
 
 
-# ---- keys
-
-
 def post_key(context, entry, body=b"seat 12a"):
     headers = {"Idempotency-Key": context.key}
     return http("POST", url(context, "/reserve?delay=0.2", entry), body, headers)
 
 
-@when("the same key is posted through both entries at once")
+@when("the same idempotency key is posted through both entries at once")
 def step_same_key(context):
     port = context.cluster.entry.ready["http_port"]
     answer = http("POST", f"http://127.0.0.1:{port}{SERVICE}:request-id")
@@ -297,7 +295,7 @@
         )
 
 
-@then("both have the same answer and it has run once")
+@then("both get the same answer and the request has run once")
 def step_same_answer(context):
     first, second = context.answers
     assert first.status == second.status == 200, context.answers
@@ -311,7 +309,7 @@
     assert answer.json()["code"] == code, answer
 
 
-@then('a key that nobody gave out is refused as "{code}"')
+@then('a key that no entry has issued is refused as "{code}"')
 def step_key_invalid(context, code):
     known = context.key
     for key in ("mine", known[:-1] + ("0" if known[-1] != "0" else "1")):
@@ -334,8 +332,8 @@
     named_agent(context).start()
 
 
-@then('the key is refused as "{code}" in the end, and has run once')
-@then('the key is refused as "{code}" or "{other}", and has run once')
+@then('the key is eventually refused as "{code}", and its request has run once')
+@then('the key is refused as "{code}" or "{other}", and its request has run once')
 def step_key_refused(context, code, other=""):
     wanted = (code, other)
 
@@ -344,13 +342,10 @@
         assert answer["code"] in ("unavailable", "outcome_unknown"), answer
         return answer["code"] in wanted
 
-    wait_for(refused, PATIENCE, f"the key is refused as {wanted}")
+    wait_for(refused, WAIT_TIMEOUT_SECONDS, f"the key is refused as {wanted}")
     assert count_runs(context.cluster)["/reserve"] == 1
 
 
-# ---- queues
-
-
 @when("endpoints are slow and {count:d} callers post at once")
 def step_overload(context, count):
     def post(number):
@@ -378,56 +373,63 @@
     assert all(s.status in (200, 503) for s, _ in context.timed), context.seen
 
 
-# ---- leaving
-
-
 def open_watcher(context, entry, last_id=0):
     headers = {"Accept": "text/event-stream", "Last-Event-ID": str(last_id)}
     address = url(context, "/events?every=0.02", entry)
     watcher = Stream("GET", address, headers=headers)
     context.add_cleanup(watcher.close)
-    wait_for(lambda: ids(watcher), PATIENCE, "the watcher reads")
+    wait_for(lambda: event_ids(watcher), WAIT_TIMEOUT_SECONDS, "the watcher reads")
     return watcher
 
 
-def ids(watcher):
+def event_ids(watcher):
     return [int(line[4:]) for line in watcher.lines if line.startswith("id: ")]
 
 
 def load_until_stop(context, query="", silent=False):
     context.load = Load(context.cluster, 6, query)
-    wait_for(lambda: len(context.load.seen) > 40, PATIENCE, "the load runs")
+    wait_for(lambda: len(context.load.seen) > 40, WAIT_TIMEOUT_SECONDS, "the load runs")
     if silent:
         context.link.faults(silent=True)
     context.stopped_at = boot_time()
 
 
-@when("callers post without pause, the link goes silent and the first agent is stopped")
+@when("callers post continuously, the link goes silent and the first agent is stopped")
 def step_leave_silent(context):
     load_until_stop(context, silent=True)
     context.cluster.agent_by_vm["vm-1"].terminate()
     context.took = boot_time() - context.stopped_at
     after = len(context.load.seen)
-    wait_for(lambda: len(context.load.seen) > after + 200, PATIENCE, "it goes on")
+    wait_for(
+        lambda: len(context.load.seen) > after + 200,
+        WAIT_TIMEOUT_SECONDS,
+        "the load goes on",
+    )
     context.seen = context.load.stop()
 
 
-@then("its endpoint has run nothing new {seconds:g} seconds after the stop began")
-def step_nothing_new(context, seconds):
+@then(
+    "its endpoint has started no request later than {seconds:g} seconds after the stop"
+)
+def step_no_new_request(context, seconds):
     last = max(row[0] for row in context.cluster.runs("vm-1")) - context.stopped_at
     print(f"the last run began {last:.3f} s after the stop")
     assert last < seconds, last
 
 
 @when(
-    "callers post without pause, a watcher reads events and the first agent is stopped"
+    "callers post continuously, a watcher reads events and the first agent is stopped"
 )
 def step_stop_agent(context):
     context.watchers = [open_watcher(context, e) for e in entries(context) * 2]
     load_until_stop(context, "?delay=0.3")
     context.exit_code = context.cluster.agent_by_vm["vm-1"].terminate()
     after = len(context.load.seen)
-    wait_for(lambda: len(context.load.seen) > after + 50, PATIENCE, "it goes on")
+    wait_for(
+        lambda: len(context.load.seen) > after + 50,
+        WAIT_TIMEOUT_SECONDS,
+        "the load goes on",
+    )
     context.seen = context.load.stop()
 
 
@@ -436,17 +438,21 @@
     assert context.exit_code == code, context.exit_code
 
 
-@then("the watcher has every event once, in order")
+@then("the watcher has received every event once, in order")
 def step_events(context):
     for watcher in context.watchers:
-        before = len(ids(watcher))
-        wait_for(lambda w=watcher, b=before: len(ids(w)) > b + 20, PATIENCE, "more")
-        seen = ids(watcher)
+        before = len(event_ids(watcher))
+        wait_for(
+            lambda w=watcher, b=before: len(event_ids(w)) > b + 20,
+            WAIT_TIMEOUT_SECONDS,
+            "more events",
+        )
+        seen = event_ids(watcher)
         assert seen == list(range(1, len(seen) + 1)), seen
 
 
 def slow_upload(entry):
-    """Return a connection on which half of a post has been sent."""
+    """Return a connection on which half the body of a post has been sent."""
     upload = socket.create_connection(("127.0.0.1", entry.ready["http_port"]))
     head = f"POST {SERVICE}/slow HTTP/1.1\r\nHost: e\r\nContent-Length: 10\r\n\r\n"
     upload.sendall(head.encode() + b"12345")
@@ -454,7 +460,7 @@
 
 
 def refuses(port):
-    """Tell whether connections to a port of this machine are refused."""
+    """Return whether connections to a port of this machine are refused."""
     try:
         socket.create_connection(("127.0.0.1", port)).close()
     except ConnectionRefusedError:
@@ -463,7 +469,7 @@
 
 
 @when(
-    "callers post without pause, a watcher reads events and the first entry is stopped"
+    "callers post continuously, a watcher reads events and the first entry is stopped"
 )
 def step_stop_entry(context):
     entry = context.cluster.entry
@@ -475,15 +481,18 @@
         exiting = pool.submit(entry.terminate)
         port = entry.ready["http_port"]
 
-        def red():
+        def health_check_fails():
             answer = http("GET", f"http://127.0.0.1:{port}/health")
             context.healthy.append(answer.status)
             return answer.status == 503
 
-        wait_for(red, PATIENCE, "the health check is red")
-        wait_for(lambda: refuses(port), PATIENCE, "the entry takes no connection")
-        # For so long the entry leaves a connection alone whose body is on its way.
-        time.sleep(HALF_SENT_SECONDS)
+        wait_for(health_check_fails, WAIT_TIMEOUT_SECONDS, "the health check fails")
+        wait_for(
+            lambda: refuses(port), WAIT_TIMEOUT_SECONDS, "the entry takes no connection"
+        )
+        # During this pause half the body is missing: the entry must keep the
+        # connection open.
+        time.sleep(UPLOAD_PAUSE_SECONDS)
         upload.sendall(b"67890")
         context.uploaded = upload.recv(65_536)
         upload.close()
@@ -491,8 +500,8 @@
     context.seen = context.load.stop()
 
 
-@then("its health check turns red while it still answers")
-def step_red(context):
+@then("its health check fails while it still answers")
+def step_health_check_fails(context):
     assert context.healthy[-1] == 503, context.healthy
 
 
@@ -502,21 +511,23 @@
     assert b"Connection: close" in context.uploaded, context.uploaded
 
 
-@then("no kept connection was cut within a call")
-def step_no_cut(context):
+@then("no kept-alive connection was closed during a call")
+def step_no_closed_connection(context):
     cut = [s for s in context.seen if s.error not in ("", "not connected")]
     assert not cut, cut[:10]
 
 
-@then("the watcher goes on at the other entry with every event once, in order")
-def step_goes_on(context):
+@then("the watcher resumes at the other entry and receives every event once, in order")
+def step_watcher_resumes(context):
     (watcher,) = context.watchers
     assert watcher.ended
     assert watcher.lines[-1] == "" and not watcher._rest, watcher.lines[-3:]
-    seen = ids(watcher)
+    seen = event_ids(watcher)
     other = open_watcher(context, entries(context)[1], seen[-1])
-    wait_for(lambda: len(ids(other)) > 5, PATIENCE, "the watcher reads on")
-    seen += ids(other)
+    wait_for(
+        lambda: len(event_ids(other)) > 5, WAIT_TIMEOUT_SECONDS, "the watcher reads on"
+    )
+    seen += event_ids(other)
     assert seen == list(range(1, len(seen) + 1)), seen
 
 
