--- a/features/steps/requests_steps.py
+++ b/features/steps/requests_steps.py
@@ -445,7 +445,7 @@
         wait_for(
             lambda w=watcher, b=before: len(event_ids(w)) > b + 20,
             WAIT_TIMEOUT_SECONDS,
-            "more events",
+            "more",
         )
         seen = event_ids(watcher)
         assert seen == list(range(1, len(seen) + 1)), seen
--- a/wagtailcleat/agent/app.py
+++ b/wagtailcleat/agent/app.py
@@ -135,7 +135,7 @@
         return {"peer_port": node.view.me.port, "http_port": bound_port(sockets)}
 
     async def stop(self) -> None:
-        """Shut down gracefully within the drain timeout and the notice to entries.
+        """Shut down gracefully; drain for at most `timing.drain` seconds.
 
         Announce the leave, finish service requests, evict tasks, release the shards,
         deliver the outstanding answers, and close everything.
--- a/wagtailcleat/agent/graceful_shutdown.py
+++ b/wagtailcleat/agent/graceful_shutdown.py
@@ -18,6 +18,7 @@
 FLUSH_TIMEOUT_SECONDS = 2.0
 FLUSH_POLL_SECONDS = 0.01
 MISSED_PINGS = 3
+"""Ping intervals allowed for an entry to detect a silent connection."""
 
 
 async def announce_leave(node: Node, timing: Timing) -> float:
