--- a/wagtailcleat/agent/attempt_handlers.py
+++ b/wagtailcleat/agent/attempt_handlers.py
@@ -1,6 +1,6 @@
 """Handles the messages of shard owners: reserve, start, release, adopt and evict.
 
-The agent's dispatcher calls these handlers; `Attempts` registers them.
+`Agent` registers these handlers in the dispatcher of its node.
 """
 
 from collections.abc import Callable
--- a/wagtailcleat/agent/evictor.py
+++ b/wagtailcleat/agent/evictor.py
@@ -27,8 +27,8 @@
             if isinstance(task, WorkerTask) and task.state is not TaskState.RUNNING:
                 self._table.end(attempt, task)
         finally:
-            # The worker's answer may be lost or this call cancelled. Then a later call
-            # must try again to stop the attempt.
+            # If the worker's answer was lost or this call was cancelled, a later call
+            # must not be skipped, but try again to stop the attempt.
             if attempt.report is None:
                 attempt.eviction_reason = ""
 
--- a/wagtailcleat/agent/interference.py
+++ b/wagtailcleat/agent/interference.py
@@ -22,7 +22,7 @@
 
 MICROSECONDS = 1_000_000
 ALLOWED_SLOW_SHARE = 0.01
-"""Share of answers that may exceed the latency target: it is a 99th percentile."""
+"""Share of answers that may exceed the target, which is a 99th percentile."""
 BREACH_DEVIATIONS = 2.0
 """Standard deviations above the expected number of slow answers for a breach."""
 MIN_ANSWERS = 20
