--- a/bench/batch.py
+++ b/bench/batch.py
@@ -24,10 +24,10 @@
 from wagtailcleat.agent.commitments import Commitments
 from wagtailcleat.agent.interference import Evict, Interference, Neighbour, Step, Tail
 from wagtailcleat.agent.neighbours import NeighbourWatch
-from wagtailcleat.batch.learning import Learning
 from wagtailcleat.batch.owner import Owner
 from wagtailcleat.batch.record import TaskState
 from wagtailcleat.batch.shard import Shard
+from wagtailcleat.batch.usage_estimates import UsageEstimates
 from wagtailcleat.clock import Clock
 from wagtailcleat.configuration.models import placed
 from wagtailcleat.ids import (
@@ -86,10 +86,12 @@
         return []
 
 
-class DeclaredOnly(Learning):
+class DeclaredOnly(UsageEstimates):
     """The baseline: sizes are taken as declared."""
 
-    def size(self, team: TeamName, job_class: str, declared: Resources) -> Resources:
+    def estimate_size(
+        self, team: TeamName, job_class: str, declared: Resources
+    ) -> Resources:
         """Return what was declared."""
         return declared
 
@@ -284,10 +286,10 @@
             lambda: self.clock() + TIMING.grant,
         )
         if not self.policy.learning:
-            shard.learning = DeclaredOnly()
+            shard.usage_estimates = DeclaredOnly()
         if self.policy.fitting is Fitting.FIRST_FIT:
             shard.penalties.level = lambda *_: 0  # type: ignore[method-assign]
-            shard.penalties.known = lambda *_: None  # type: ignore[method-assign]
+            shard.penalties.expected_slowdown = lambda *_: None  # type: ignore[method-assign]
         return Owner(shard, [])
 
     # ---- the batch load
@@ -295,7 +297,7 @@
     async def _feed(self) -> None:
         while True:
             record = self.journal.record
-            cores = self.batch.cores * record.open_tasks()
+            cores = self.batch.cores * record.open_task_count()
             if cores < self._wanted() * self.free_cores():
                 await self.submit()
             else:
--- a/bench/batch_fakes.py
+++ b/bench/batch_fakes.py
@@ -9,7 +9,7 @@
 from standins.serving import Record
 from standins.worker_tasks import StartRequest, State, Task
 from standins.worker_tasks import Worker as WorkerStandin
-from wagtailcleat.batch.journal import Commit
+from wagtailcleat.batch.journal import CommitOutcome
 from wagtailcleat.batch.record import AnyEvent, ShardRecord
 from wagtailcleat.clock import Clock
 from wagtailcleat.ids import AttemptId, Epoch
@@ -206,18 +206,18 @@
     new_zones_out: list[str] = field(default_factory=list)
     deposed: asyncio.Event = field(default_factory=asyncio.Event)
 
-    async def commit(self, events: list[AnyEvent]) -> Commit:
+    async def commit(self, events: list[AnyEvent]) -> CommitOutcome:
         """Apply events after the time a commit takes."""
         await asyncio.sleep(COMMIT_SECONDS)
         if not self.store.up:
-            return Commit.FAILED
+            return CommitOutcome.FAILED
         if self.zones_out != self.new_zones_out and _places(events):
             self.zones_out = self.new_zones_out
-            return Commit.ZONES_CHANGED
+            return CommitOutcome.ZONES_CHANGED
         for event in events:
             self.record.apply(event)
         self.record.number += 1
-        return Commit.COMMITTED
+        return CommitOutcome.COMMITTED
 
     async def refresh_zones(self) -> bool:
         """Take the zones out as the store has them."""
--- a/features/steps/batch_large_steps.py
+++ b/features/steps/batch_large_steps.py
@@ -4,7 +4,7 @@
 from behave import given, then, when
 
 from standins.in_process_agents import AgentsDeployment
-from wagtailcleat.batch.journal import load
+from wagtailcleat.batch.journal import load_shard
 from wagtailcleat.batch.record import Assigned, AttemptEnded, JobAccepted
 from wagtailcleat.configuration.keys import shard_log, shard_snapshot
 from wagtailcleat.configuration.writer import write
@@ -59,7 +59,7 @@
 
 @when("its owner writes a snapshot")
 def step_snapshot(context):
-    context.deployment.loop.run(context.journal._snapshot())
+    context.deployment.loop.run(context.journal._write_snapshot())
 
 
 @then("the store holds it in {parts:d} parts or more and no log entry")
@@ -70,7 +70,7 @@
 
 @then("another owner loads the same jobs from it")
 def step_load(context):
-    loaded = context.deployment.loop.run(load(context.store, SHARD))
+    loaded = context.deployment.loop.run(load_shard(context.store, SHARD))
     assert loaded.record.job_by_id == context.journal.record.job_by_id
     assert loaded.record.pending_count() == context.journal.record.pending_count()
 
--- a/features/steps/batch_record_steps.py
+++ b/features/steps/batch_record_steps.py
@@ -4,13 +4,13 @@
 
 from behave import given, then, when
 
-from wagtailcleat.batch.accounts import account
+from wagtailcleat.batch.accounts import encode_account
 from wagtailcleat.batch.record import (
     Assigned,
     AttemptEnded,
     JobAccepted,
     ShardRecord,
-    restore,
+    decode_snapshot,
 )
 from wagtailcleat.resources import Resources
 from wagtailcleat.wire.attempts import AttemptState
@@ -46,7 +46,9 @@
 
 @then("the record's snapshot is smaller than {size:d} bytes")
 def step_small(context, size):
-    assert len(context.record.snapshot()) < size, len(context.record.snapshot())
+    assert len(context.record.encode_snapshot()) < size, len(
+        context.record.encode_snapshot()
+    )
 
 
 @then(
@@ -54,8 +56,8 @@
     " {evictions:d} evictions, {failures:d} failures"
 )
 def step_account(context, succeeded, evictions, failures):
-    for record in (context.record, restore(context.record.snapshot())):
-        seen = json.loads(account(record.job_by_id[JOB], "ledger", START + 2))
+    for record in (context.record, decode_snapshot(context.record.encode_snapshot())):
+        seen = json.loads(encode_account(record.job_by_id[JOB], "ledger", START + 2))
         assert seen["state"] == "finished", seen
         assert seen["tasks"] == seen["succeeded"] == succeeded, seen
         assert seen["evictions"] == evictions, seen
--- a/features/steps/batch_steps.py
+++ b/features/steps/batch_steps.py
@@ -8,7 +8,7 @@
 
 from standins.cluster import Cluster, VmOptions
 from standins.processes import HttpError, http, wait_for
-from wagtailcleat.batch.shards import fair_share, find_shard, preferred
+from wagtailcleat.batch.shards import fair_share, find_shard, rank_nodes
 from wagtailcleat.clock import boot_time
 from wagtailcleat.configuration.models import Team
 
@@ -189,7 +189,7 @@
 def step_shared(context):
     agents = {a.name: vm for vm, a in context.cluster.agent_by_vm.items()}
     shards = AGENT_SETTINGS["shards"]
-    firsts = [preferred(shard, sorted(agents), 1)[0] for shard in range(shards)]
+    firsts = [rank_nodes(shard, sorted(agents), 1)[0] for shard in range(shards)]
     most = {
         vm: max(firsts.count(name), fair_share(shards, len(agents)))
         for name, vm in agents.items()
--- a/features/steps/bench_steps.py
+++ b/features/steps/bench_steps.py
@@ -19,7 +19,7 @@
     Tail,
     Throttle,
 )
-from wagtailcleat.batch.learning import MIN_SAMPLES, Learning, Sample
+from wagtailcleat.batch.usage_estimates import MIN_SAMPLES, Sample, UsageEstimates
 from wagtailcleat.ids import AttemptId, ServiceName, TeamName
 from wagtailcleat.resources import Resources
 from wagtailcleat.routing.latency import EndpointRecord
@@ -216,7 +216,7 @@
 )
 def step_class(context, declared, used, count):
     context.declared = Resources(declared, 1000)
-    context.learning = Learning()
+    context.usage_estimates = UsageEstimates()
     _use(context, used, count)
 
 
@@ -233,16 +233,16 @@
 def _use(context, used, count):
     for _ in range(count):
         sample = Sample(Resources(used, 1000), 5.0)
-        context.learning.note(TEAM, "ledger", sample)
+        context.usage_estimates.add(TEAM, "ledger", sample)
 
 
 @then("{cores:d} cores are reserved for its next task")
 def step_reserved(context, cores):
-    size = context.learning.size(TEAM, "ledger", context.declared)
+    size = context.usage_estimates.estimate_size(TEAM, "ledger", context.declared)
     assert size.cores == cores, size
 
 
 @then("at most {cores:d} cores are reserved for its next task")
 def step_at_most(context, cores):
-    size = context.learning.size(TEAM, "ledger", context.declared)
+    size = context.usage_estimates.estimate_size(TEAM, "ledger", context.declared)
     assert context.declared.cores < size.cores <= cores, size
--- a/wagtailcleat/batch/accounts.py
+++ b/wagtailcleat/batch/accounts.py
@@ -7,7 +7,7 @@
 
 def state_of(job: JobRecord) -> str:
     """Return one word for how the job stands."""
-    if job.open():
+    if job.is_open():
         if job.cancelled or job.stopped:
             return "stopping"
         started = any(task.attempt for task in job.tasks)
@@ -25,7 +25,7 @@
     Parameters: `now` on the wall clock.
     """
     deadline, run_seconds = job.spec.deadline, job.spec.task.run_seconds
-    if not job.open() or job.cancelled or job.stopped:
+    if not job.is_open() or job.cancelled or job.stopped:
         return ""
     if now > deadline:
         return "its deadline has passed"
@@ -35,7 +35,7 @@
     return ""
 
 
-def account(job: JobRecord, name: str, now: float) -> str:
+def encode_account(job: JobRecord, name: str, now: float) -> str:
     """Return the account as JSON text; `now` is on the wall clock."""
     spec = job.spec
     totals = job.totals()
--- a/wagtailcleat/batch/holders.py
+++ b/wagtailcleat/batch/holders.py
@@ -19,7 +19,7 @@
 from wagtailcleat.wire.results import Done
 from wagtailcleat.wire.takeover import StepDown
 
-CALL_SECONDS = 1.0
+CALL_TIMEOUT_SECONDS = 1.0
 
 
 class Holder(msgspec.Struct, frozen=True):
@@ -60,7 +60,7 @@
     return _encode(EpochRecord(epoch, holder))
 
 
-def encode_earlier(holders: list[Holder]) -> bytes:
+def encode_earlier_holders(holders: list[Holder]) -> bytes:
     """Return the value of the key of earlier holders."""
     return _encode(holders)
 
@@ -95,11 +95,13 @@
     return msgspec.json.decode(found.value, type=EpochRecord).epoch
 
 
-async def clear_earlier(store: Store, shard: ShardId, epoch_value: bytes) -> bool:
+async def clear_earlier_holders(
+    store: Store, shard: ShardId, epoch_value: bytes
+) -> bool:
     """Note that all earlier holders are settled; tell whether it was written."""
     txn = Txn(
         [Compare(shard_epoch(shard), value=epoch_value)],
-        {shard_earlier(shard): encode_earlier([])},
+        {shard_earlier(shard): encode_earlier_holders([])},
     )
     return isinstance(await store.write(txn), Written)
 
@@ -119,4 +121,4 @@
         return True
     if stream.peer_incarnation < holder.incarnation:
         return False
-    return isinstance(await stream.call(order, timeout=CALL_SECONDS), Done)
+    return isinstance(await stream.call(order, timeout=CALL_TIMEOUT_SECONDS), Done)
--- a/wagtailcleat/batch/journal.py
+++ b/wagtailcleat/batch/journal.py
@@ -15,8 +15,8 @@
     Assigned,
     ShardRecord,
     decode_events,
+    decode_snapshot,
     encode_events,
-    restore,
 )
 from wagtailcleat.configuration.keys import (
     ZONES_OUT,
@@ -43,14 +43,14 @@
 
 log = part_logger("journal")
 
-ENTRIES_A_SNAPSHOT = 100
-MAX_ENTRIES_A_SNAPSHOT = 1000
+MIN_ENTRIES_PER_SNAPSHOT = 100
+MAX_ENTRIES_PER_SNAPSHOT = 1000
 MAX_ENTRY_BYTES = 500_000
 SNAPSHOT_PART_BYTES = 900_000
 RETRY_PAUSE_SECONDS = 0.1
 
 
-class Commit(Enum):
+class CommitOutcome(Enum):
     """What became of events handed to the journal."""
 
     COMMITTED = "committed"
@@ -65,10 +65,10 @@
 
 
 @dataclass
-class _Batch:
+class _QueuedCommit:
     events: list[AnyEvent]
     size: int
-    done: asyncio.Future[Commit]
+    done: asyncio.Future[CommitOutcome]
 
 
 @dataclass
@@ -88,15 +88,15 @@
     deposed: asyncio.Event = field(default_factory=asyncio.Event)
     _log_bytes: int = 0
     _snapshot_bytes: int = 0
-    _waiting: list[_Batch] = field(default_factory=list)
+    _queue: list[_QueuedCommit] = field(default_factory=list)
     _wake: asyncio.Event = field(default_factory=asyncio.Event)
 
-    async def commit(self, events: list[AnyEvent]) -> Commit:
+    async def commit(self, events: list[AnyEvent]) -> CommitOutcome:
         """Write events and return once they are in the store, or surely not."""
         if self.deposed.is_set():
-            return Commit.DEPOSED
-        done: asyncio.Future[Commit] = asyncio.get_running_loop().create_future()
-        self._waiting.append(_Batch(events, len(encode_events(events)), done))
+            return CommitOutcome.DEPOSED
+        done: asyncio.Future[CommitOutcome] = asyncio.get_running_loop().create_future()
+        self._queue.append(_QueuedCommit(events, len(encode_events(events)), done))
         self._wake.set()
         return await asyncio.shield(done)
 
@@ -106,105 +106,111 @@
             while not self.deposed.is_set():
                 await self._wake.wait()
                 self._wake.clear()
-                await self._write_some()
+                await self._write_next_entry()
                 if self._snapshot_due():
-                    await self._snapshot()
-                if self._waiting:
+                    await self._write_snapshot()
+                if self._queue:
                     self._wake.set()
                 await asyncio.sleep(self.interval)
         finally:
             deposed = self.deposed.is_set()
-            _settle(self._waiting, Commit.DEPOSED if deposed else Commit.FAILED)
-            self._waiting.clear()
+            _complete(
+                self._queue, CommitOutcome.DEPOSED if deposed else CommitOutcome.FAILED
+            )
+            self._queue.clear()
 
-    async def _write_some(self) -> None:
-        batches = self._take()
+    async def _write_next_entry(self) -> None:
+        queued = self._dequeue()
         # Stopped in the middle of a write, this process can't tell what became of
         # it: whoever waits must not be told that nothing was written.
-        outcome = Commit.UNKNOWN
+        outcome = CommitOutcome.UNKNOWN
         try:
-            if batches:
-                outcome = await self._write(batches)
+            if queued:
+                outcome = await self._write(queued)
         finally:
-            _settle(batches, outcome)
+            _complete(queued, outcome)
 
-    def _take(self) -> list[_Batch]:
-        taken: list[_Batch] = []
+    def _dequeue(self) -> list[_QueuedCommit]:
+        taken: list[_QueuedCommit] = []
         size = 0
-        while self._waiting and (not taken or size < MAX_ENTRY_BYTES):
-            size += self._waiting[0].size
+        while self._queue and (not taken or size < MAX_ENTRY_BYTES):
+            size += self._queue[0].size
             if taken and size > MAX_ENTRY_BYTES:
                 break
-            taken.append(self._waiting.pop(0))
+            taken.append(self._queue.pop(0))
         return taken
 
     def _snapshot_due(self) -> bool:
         # A large shard's snapshot is written seldom: only once the log has grown to
         # a part of its size, so that snapshots stay a fixed share of all writes.
         entries = self.record.number - self.snapshot_number
-        if entries < ENTRIES_A_SNAPSHOT:
+        if entries < MIN_ENTRIES_PER_SNAPSHOT:
             return False
-        grown = self._log_bytes >= self._snapshot_bytes
-        return grown or entries >= MAX_ENTRIES_A_SNAPSHOT
+        log_outgrew_snapshot = self._log_bytes >= self._snapshot_bytes
+        return log_outgrew_snapshot or entries >= MAX_ENTRIES_PER_SNAPSHOT
 
-    async def _write(self, batches: list[_Batch]) -> Commit:
-        events = [event for batch in batches for event in batch.events]
+    async def _write(self, queued: list[_QueuedCommit]) -> CommitOutcome:
+        events = [event for queued_commit in queued for event in queued_commit.events]
         number = self.record.number + 1
-        places = any(isinstance(event, Assigned) for event in events)
-        txn = self._txn(number, events, places)
+        has_assignments = any(isinstance(event, Assigned) for event in events)
+        txn = self._entry_txn(number, events, has_assignments)
         unknown = False
         while True:
             outcome = await self.store.write(txn)
             if isinstance(outcome, Written):
-                return self._committed(number, events)
+                return self._apply_committed(number, events)
             if isinstance(outcome, Conflict):
-                commit = await self._conflict(txn, number, events, places, unknown)
-                if commit is not None:
-                    return commit
+                resolved = await self._resolve_conflict(
+                    txn, number, events, has_assignments, unknown
+                )
+                if resolved is not None:
+                    return resolved
             elif isinstance(outcome, Unavailable) and not unknown:
-                return Commit.FAILED
+                return CommitOutcome.FAILED
             elif isinstance(outcome, Unknown):
                 # The write may have taken effect, or may yet. Sending the same
                 # transaction again is safe: its log key is created once.
                 unknown = True
             await asyncio.sleep(RETRY_PAUSE_SECONDS)
 
-    def _txn(self, number: int, events: list[AnyEvent], places: bool) -> Txn:
+    def _entry_txn(
+        self, number: int, events: list[AnyEvent], has_assignments: bool
+    ) -> Txn:
         entry = shard_log_entry(self.shard, number)
         compares = [
             Compare(shard_epoch(self.shard), value=self.epoch_value),
             Compare(entry, absent=True),
         ]
-        if places:
+        if has_assignments:
             compares.append(Compare(ZONES_OUT, mod_revision=self.zones_revision))
         return Txn(compares, {entry: encode_events(events)})
 
-    async def _conflict(
+    async def _resolve_conflict(
         self,
         txn: Txn,
         number: int,
         events: list[AnyEvent],
-        places: bool,
+        has_assignments: bool,
         unknown: bool,
-    ) -> Commit | None:
+    ) -> CommitOutcome | None:
         entry = shard_log_entry(self.shard, number)
         stored = await self.store.get(entry)
         if isinstance(stored, Found):
             if stored.value == txn.puts[entry]:
                 # Only this owner's epoch could have written these bytes here: the
                 # answer was lost, and this or the HTTP client sent them again.
-                return self._committed(number, events)
+                return self._apply_committed(number, events)
             self.deposed.set()
-            return Commit.UNKNOWN if unknown else Commit.DEPOSED
+            return CommitOutcome.UNKNOWN if unknown else CommitOutcome.DEPOSED
         epoch = await self.store.get(shard_epoch(self.shard))
         if isinstance(epoch, Unavailable) or isinstance(stored, Unavailable):
             return None
         if isinstance(epoch, Absent) or epoch.value != self.epoch_value:
             # The next owner may have found the entry and put it into a snapshot.
             self.deposed.set()
-            return Commit.UNKNOWN if unknown else Commit.DEPOSED
-        if places and await self.refresh_zones():
-            return Commit.ZONES_CHANGED
+            return CommitOutcome.UNKNOWN if unknown else CommitOutcome.DEPOSED
+        if has_assignments and await self.refresh_zones():
+            return CommitOutcome.ZONES_CHANGED
         return None
 
     async def refresh_zones(self) -> bool:
@@ -215,20 +221,20 @@
         self.zones_out, self.zones_revision = zones
         return True
 
-    def _committed(self, number: int, events: list[AnyEvent]) -> Commit:
+    def _apply_committed(self, number: int, events: list[AnyEvent]) -> CommitOutcome:
         for event in events:
             self.record.apply(event)
         self.record.number = number
         self._log_bytes += len(encode_events(events))
-        return Commit.COMMITTED
+        return CommitOutcome.COMMITTED
 
-    async def _snapshot(self) -> None:
+    async def _write_snapshot(self) -> None:
         # The answer may be lost and the write come late, after further entries:
         # so it deletes no entry beyond its own number, and compares the snapshot
         # it replaces, never to put an older one over a newer.
         number = self.record.number
         key = shard_snapshot(self.shard)
-        parts = _in_parts(self.record.snapshot())
+        parts = _split_snapshot(self.record.encode_snapshot())
         puts = {key: str(len(parts)).encode()}
         for index, part in enumerate(parts):
             puts[shard_snapshot_part(self.shard, index)] = part
@@ -254,13 +260,13 @@
             self.snapshot_revision = found.mod_revision
 
 
-def _settle(batches: list[_Batch], outcome: Commit) -> None:
-    for batch in batches:
-        if not batch.done.done():
-            batch.done.set_result(outcome)
+def _complete(queued: list[_QueuedCommit], outcome: CommitOutcome) -> None:
+    for commit in queued:
+        if not commit.done.done():
+            commit.done.set_result(outcome)
 
 
-def _in_parts(snapshot: bytes) -> list[bytes]:
+def _split_snapshot(snapshot: bytes) -> list[bytes]:
     # A value of the store has at most a megabyte, and a shard may hold more.
     starts = range(0, len(snapshot), SNAPSHOT_PART_BYTES)
     return [snapshot[start : start + SNAPSHOT_PART_BYTES] for start in starts]
@@ -275,7 +281,7 @@
 
 
 @dataclass(frozen=True)
-class Loaded:
+class LoadedShard:
     """A shard's committed state, and the store's revision of its snapshot."""
 
     record: ShardRecord
@@ -283,7 +289,7 @@
     snapshot_number: int
 
 
-async def load(store: Store, shard: ShardId) -> Loaded | None:
+async def load_shard(store: Store, shard: ShardId) -> LoadedShard | None:
     """Return a shard's committed state, or nothing where the store fails."""
     stored = await store.list(shard_snapshot(shard))
     if not isinstance(stored, Listing):
@@ -293,7 +299,7 @@
     record, snapshot_revision = ShardRecord(), 0
     if head is not None:
         keys = [shard_snapshot_part(shard, i) for i in range(int(head.value))]
-        record = restore(b"".join(value_by_key[key].value for key in keys))
+        record = decode_snapshot(b"".join(value_by_key[key].value for key in keys))
         snapshot_revision = head.mod_revision
     snapshot_number = record.number
     entries = await store.list(shard_log(shard))
@@ -306,4 +312,4 @@
         for event in decode_events(entry.value):
             record.apply(event)
         record.number = number
-    return Loaded(record, snapshot_revision, snapshot_number)
+    return LoadedShard(record, snapshot_revision, snapshot_number)
--- a/wagtailcleat/batch/owner.py
+++ b/wagtailcleat/batch/owner.py
@@ -7,7 +7,7 @@
 
 import asyncio
 
-from wagtailcleat.batch.grants import GrantBook
+from wagtailcleat.batch.grants import GrantManager
 from wagtailcleat.batch.holders import Holder
 from wagtailcleat.batch.journal import Journal
 from wagtailcleat.batch.placer import Placer
@@ -25,10 +25,10 @@
     def __init__(self, shard: Shard, earlier: list[Holder]) -> None:
         """Own `shard`, taken over from the `earlier` holders."""
         self.shard = shard
-        self._grants = GrantBook(shard)
+        self._grant_manager = GrantManager(shard)
         self._submissions = Submissions(shard)
-        self._placer = Placer(shard, self._grants)
-        self.takeover = Takeover(shard, self._grants, earlier)
+        self._placer = Placer(shard, self._grant_manager)
+        self.takeover = Takeover(shard, self._grant_manager, earlier)
 
     @property
     def journal(self) -> Journal:
@@ -46,15 +46,15 @@
         if isinstance(message, CancelJob):
             return await self._submissions.cancel(message)
         assert isinstance(message, RenewGrants)
-        return await self._grants.renew(message)
+        return await self._grant_manager.renew(message)
 
     async def run(self) -> None:
         """End what lapsed and place what waits, until deposed."""
         shard = self.shard
         while not self.journal.deposed.is_set():
             shard.wake.clear()
-            await self._follow_zones()
-            await self._grants.lapse()
+            await self._refresh_zones_if_changed()
+            await self._grant_manager.end_lapsed()
             self._placer.place()
             try:
                 async with asyncio.timeout(shard.timing.placement):
@@ -79,7 +79,7 @@
             "unsettled": self.takeover.dump(),
         }
 
-    async def _follow_zones(self) -> None:
+    async def _refresh_zones_if_changed(self) -> None:
         # A zone that comes back shows in no conflict while no task is placed, so
         # the store is read where the journal and the view differ.
         zones_out = self.shard.in_force.configuration.zones_out
--- a/wagtailcleat/batch/ownership.py
+++ b/wagtailcleat/batch/ownership.py
@@ -13,14 +13,14 @@
 from wagtailcleat.batch.holders import (
     Holder,
     KnownHolders,
-    encode_earlier,
+    encode_earlier_holders,
     encode_epoch,
     holder_of,
     read_holders,
 )
-from wagtailcleat.batch.journal import Journal, load, read_zones_out
+from wagtailcleat.batch.journal import Journal, load_shard, read_zones_out
 from wagtailcleat.batch.owner import Owner
-from wagtailcleat.batch.shards import fair_share, preferred
+from wagtailcleat.batch.shards import fair_share, rank_nodes
 from wagtailcleat.clock import Clock
 from wagtailcleat.configuration.keys import shard_earlier, shard_epoch, shard_owner
 from wagtailcleat.ids import Epoch, NodeId, ShardId
@@ -45,12 +45,12 @@
 
 log = part_logger("ownership")
 
-RENEWALS_A_LEASE = 3.0
-ROUND_SECONDS = 0.5
-RIVALS = 3
-SECOND_CLAIMS_SHARE = 0.1
-HAND_BACK_SHARE = 0.1
-KEEP_ROUND_SHARE = 0.5
+RENEWALS_PER_LEASE = 3.0
+MAX_ROUND_SECONDS = 0.5
+RANKED_CANDIDATES = 3
+FALLBACK_CLAIM_PROBABILITY = 0.1
+RELEASE_INTERVAL_SHARE = 0.1
+RENEWAL_ROUND_SHARE = 0.5
 
 MakeOwner = Callable[[ShardId, Journal, list[Holder]], Owner]
 
@@ -88,7 +88,7 @@
         agent may take shards, as far as is known here.
         """
         self.owner_by_shard: dict[ShardId, Owner] = {}
-        self.kept_at = 0.0
+        self.lease_renewed_at = 0.0
         """When the store last confirmed the lease, counted from the asking."""
         self._lease = ""
         self._store = store
@@ -100,15 +100,15 @@
         self._random = rng
         self._make_owner = make_owner
         self._announce = announce
-        self._closed = closed
+        self._why_closed = closed
         self._may_own = may_own
         self._stepped_down_by_shard: dict[ShardId, Epoch] = {}
-        self._wanted: list[ShardId] = []
+        self._claimable: list[ShardId] = []
         self._owned_since_by_shard: dict[ShardId, float] = {}
-        self._handed_back_at = 0.0
-        self._ranked: list[NodeId] = []
-        self._rivals_by_shard: dict[ShardId, list[NodeId]] = {}
-        self._branch_by_shard: dict[ShardId, Supervisor] = {}
+        self._released_at = 0.0
+        self._ranked_agents: list[NodeId] = []
+        self._candidates_by_shard: dict[ShardId, list[NodeId]] = {}
+        self._supervisor_by_shard: dict[ShardId, Supervisor] = {}
 
     def may_grant_until(self) -> float:
         """Return until when grants may be handed out, on this process's clock.
@@ -116,37 +116,37 @@
         Grants go on while the store is out, up to the bound that a successor
         waits for agents it can't ask.
         """
-        return self.kept_at + self._timing.outage_grant
+        return self.lease_renewed_at + self._timing.outage_grant
 
     async def run(self) -> None:
         """Keep the lease and claim shards, until cancelled."""
         # A claim and its takeover are many calls; were the lease renewed in turn with
         # them, a store that answers late would let it lapse, and all shards be dropped
         # and claimed again without end.
-        await asyncio.gather(self._keep_lease_rounds(), self._claim_rounds())
+        await asyncio.gather(self._run_lease_renewal(), self._run_claims())
 
-    async def _keep_lease_rounds(self) -> None:
+    async def _run_lease_renewal(self) -> None:
         while True:
-            if self.owner_by_shard or self._wanted:
-                await self._keep_lease()
-            pause = min(ROUND_SECONDS, self._timing.ownership / RENEWALS_A_LEASE)
-            await asyncio.sleep(pause * KEEP_ROUND_SHARE)
+            if self.owner_by_shard or self._claimable:
+                await self._renew_lease()
+            pause = min(MAX_ROUND_SECONDS, self._timing.ownership / RENEWALS_PER_LEASE)
+            await asyncio.sleep(pause * RENEWAL_ROUND_SHARE)
 
-    async def _claim_rounds(self) -> None:
+    async def _run_claims(self) -> None:
         while True:
-            self._wanted = [] if self._closed() else self._to_claim()
-            for shard in self._wanted:
+            self._claimable = [] if self._why_closed() else self._claimable_shards()
+            for shard in self._claimable:
                 if self._lease:
-                    await self._claim_and_run(shard)
-            self._drop_deposed()
-            await self._hand_back_excess()
-            pause = min(ROUND_SECONDS, self._timing.ownership / RENEWALS_A_LEASE)
+                    await self._try_claim(shard)
+            self._stop_deposed_owners()
+            await self._release_excess()
+            pause = min(MAX_ROUND_SECONDS, self._timing.ownership / RENEWALS_PER_LEASE)
             await asyncio.sleep(pause * self._random.uniform(0.7, 1.3))
 
     async def give_up(self) -> None:
         """Hand all shards back, so that others claim them at once."""
         for shard in list(self.owner_by_shard):
-            self._drop(shard)
+            self._stop_owner(shard)
         if self._lease:
             await self._store.revoke(self._lease)
             self._lease = ""
@@ -158,45 +158,45 @@
         self._stepped_down_by_shard[message.shard] = max(known, message.epoch)
         owner = self.owner_by_shard.get(message.shard)
         if owner is not None and owner.journal.epoch < message.epoch:
-            self._drop(message.shard)
+            self._stop_owner(message.shard)
         return Done()
 
     # ---- the store lease
 
-    async def _keep_lease(self) -> None:
-        asked_at = self._clock()
+    async def _renew_lease(self) -> None:
+        sent_at = self._clock()
         if self._lease:
-            due = self.kept_at + self._timing.ownership / RENEWALS_A_LEASE
-            if asked_at < due:
+            due = self.lease_renewed_at + self._timing.ownership / RENEWALS_PER_LEASE
+            if sent_at < due:
                 return
-            kept = await self._store.keep_alive(self._lease)
-            if isinstance(kept, Leased):
-                self.kept_at = asked_at
-            elif isinstance(kept, LeaseGone):
+            renewed = await self._store.keep_alive(self._lease)
+            if isinstance(renewed, Leased):
+                self.lease_renewed_at = sent_at
+            elif isinstance(renewed, LeaseGone):
                 log.warning("The store lease lapsed")
                 self._lease = ""
                 for shard in list(self.owner_by_shard):
-                    self._drop(shard)
+                    self._stop_owner(shard)
             return
         leased = await self._store.grant(self._timing.ownership)
         if isinstance(leased, Leased):
             self._lease = leased.id
-            self.kept_at = asked_at
+            self.lease_renewed_at = sent_at
 
     # ---- claiming
 
-    def _to_claim(self) -> list[ShardId]:
-        agents = self._possible_owners()
+    def _claimable_shards(self) -> list[ShardId]:
+        agents = self._eligible_agents()
         owned = self._owned_elsewhere()
         return [
             shard
             for shard in map(ShardId, range(self._shards))
             if shard not in self.owner_by_shard
             and shard not in owned
-            and self._is_mine_to_claim(shard, agents)
+            and self._should_claim(shard, agents)
         ]
 
-    def _possible_owners(self) -> list[NodeId]:
+    def _eligible_agents(self) -> list[NodeId]:
         return sorted(
             m.node
             for m in self._view.agents()
@@ -204,49 +204,54 @@
         )
 
     def _owned_elsewhere(self) -> set[ShardId]:
-        standing = (MemberState.ALIVE, MemberState.SUSPECT)
+        live_states = (MemberState.ALIVE, MemberState.SUSPECT)
         return {
             shard
             for member in self._view.agents()
-            if member.state in standing and member.node != self._view.me.node
+            if member.state in live_states and member.node != self._view.me.node
             for shard in member.shards
         }
 
-    def _is_mine_to_claim(self, shard: ShardId, agents: list[NodeId]) -> bool:
-        ranked = self._rivals(shard, agents)
+    def _should_claim(self, shard: ShardId, agents: list[NodeId]) -> bool:
+        ranked = self._ranked_candidates(shard, agents)
         if self._view.me.node not in ranked:
             return False
         # The next in line step in too, but seldom, where the first does not.
         rank = ranked.index(self._view.me.node)
-        return self._random.random() < SECOND_CLAIMS_SHARE**rank
+        return self._random.random() < FALLBACK_CLAIM_PROBABILITY**rank
 
-    def _rivals(self, shard: ShardId, agents: list[NodeId]) -> list[NodeId]:
+    def _ranked_candidates(self, shard: ShardId, agents: list[NodeId]) -> list[NodeId]:
         # Ranking a thousand agents for each free shard, each round, would take a
         # good part of a core while no owner is known; so it is done once a change.
-        if agents != self._ranked:
-            self._ranked = agents
-            self._rivals_by_shard.clear()
-        if shard not in self._rivals_by_shard:
-            self._rivals_by_shard[shard] = preferred(shard, agents, RIVALS)
-        return self._rivals_by_shard[shard]
-
-    async def _claim_and_run(self, shard: ShardId) -> None:
+        if agents != self._ranked_agents:
+            self._ranked_agents = agents
+            self._candidates_by_shard.clear()
+        if shard not in self._candidates_by_shard:
+            self._candidates_by_shard[shard] = rank_nodes(
+                shard, agents, RANKED_CANDIDATES
+            )
+        return self._candidates_by_shard[shard]
+
+    async def _try_claim(self, shard: ShardId) -> None:
         # A lost owner's key stands until its store lease ends; claims before that
         # would only be refused, and writes are what the store has few of. A key of
         # this process's own is left from a claim whose answer was lost.
         lease = self._lease
-        held, known = await asyncio.gather(
+        current_owner, known = await asyncio.gather(
             self._store.get(shard_owner(shard)), read_holders(self._store, shard)
         )
-        if isinstance(held, Found) and held.value != self._owner_value():
+        if (
+            isinstance(current_owner, Found)
+            and current_owner.value != self._owner_value()
+        ):
             return
         if known is None or lease != self._lease:
             return
-        claim = await self._claim(shard, known)
+        claim = await self._write_claim(shard, known)
         if claim is not None:
-            await self._take_over(shard, claim, lease)
+            await self._start_owner(shard, claim, lease)
 
-    async def _claim(self, shard: ShardId, known: KnownHolders) -> Claim | None:
+    async def _write_claim(self, shard: ShardId, known: KnownHolders) -> Claim | None:
         me = holder_of(self._view.me)
         epoch = Epoch(known.epoch + 1)
         value = encode_epoch(epoch, me)
@@ -256,7 +261,7 @@
         ]
         puts = {
             shard_epoch(shard): value,
-            shard_earlier(shard): encode_earlier(known.unsettled),
+            shard_earlier(shard): encode_earlier_holders(known.unsettled),
         }
         owner_key = {shard_owner(shard): self._owner_value()}
         txn = Txn(compares, puts, owner_key, self._lease)
@@ -271,17 +276,17 @@
             return Claim(epoch, known.unsettled)
         # A claim of this process whose answer was lost may have taken effect after
         # all; then this process keeps the key alive and nobody owns the shard.
-        await self._hand_back(shard)
+        await self._delete_owner_key(shard)
         return None
 
-    async def _take_over(self, shard: ShardId, claim: Claim, lease: str) -> None:
-        loaded = await load(self._store, shard)
+    async def _start_owner(self, shard: ShardId, claim: Claim, lease: str) -> None:
+        loaded = await load_shard(self._store, shard)
         zones = await read_zones_out(self._store)
         stepped_down = self._stepped_down_by_shard.get(shard, Epoch(0)) > claim.epoch
         # The lease may have lapsed meanwhile, and the owner key gone with it.
         lapsed = lease != self._lease
         if loaded is None or zones is None or stepped_down or lapsed:
-            await self._hand_back(shard)
+            await self._delete_owner_key(shard)
             return
         journal = Journal(
             self._store,
@@ -298,18 +303,18 @@
         owner = self._make_owner(shard, journal, claim.earlier)
         self.owner_by_shard[shard] = owner
         self._owned_since_by_shard[shard] = self._clock()
-        branch = self._supervisor.supervisor(f"shard-{shard}")
-        self._branch_by_shard[shard] = branch
-        branch.spawn("journal", journal.run)
-        branch.spawn("takeover", owner.takeover.run)
-        branch.spawn("placement", owner.run)
+        supervisor = self._supervisor.supervisor(f"shard-{shard}")
+        self._supervisor_by_shard[shard] = supervisor
+        supervisor.spawn("journal", journal.run)
+        supervisor.spawn("takeover", owner.takeover.run)
+        supervisor.spawn("placement", owner.run)
         log.info("Owns a shard", extra={"shard": shard, "epoch": claim.epoch})
         self._announce()
 
-    async def _hand_back(self, shard: ShardId) -> None:
+    async def _delete_owner_key(self, shard: ShardId) -> None:
         key = shard_owner(shard)
-        mine = Compare(key, value=self._owner_value())
-        await self._store.write(Txn([mine], deletes=[key]))
+        own_key = Compare(key, value=self._owner_value())
+        await self._store.write(Txn([own_key], deletes=[key]))
 
     def _owner_value(self) -> bytes:
         me = self._view.me
@@ -317,38 +322,41 @@
 
     # ---- losing
 
-    async def _hand_back_excess(self) -> None:
+    async def _release_excess(self) -> None:
         # Whoever starts first claims all shards, and would hold them for ever, at
         # many times its share of processor time and bytes. So an owner of more than
         # its share hands one back at a time, when the agent that is first for it
         # would take it; its earlier holder answers at once, so little stands still.
         now = self._clock()
         pause = self._timing.rebalance
-        if self._closed() or now - self._handed_back_at < pause * HAND_BACK_SHARE:
+        if (
+            self._why_closed()
+            or now - self._released_at < pause * RELEASE_INTERVAL_SHARE
+        ):
             return
-        agents = self._possible_owners()
+        agents = self._eligible_agents()
         if len(self.owner_by_shard) <= fair_share(self._shards, len(agents)):
             return
         for shard, since in self._owned_since_by_shard.items():
-            first = self._rivals(shard, agents)[:1]
+            first = self._ranked_candidates(shard, agents)[:1]
             if now - since > pause and first and first[0] != self._view.me.node:
-                self._handed_back_at = now
-                self._drop(shard)
-                await self._hand_back(shard)
+                self._released_at = now
+                self._stop_owner(shard)
+                await self._delete_owner_key(shard)
                 return
 
-    def _drop_deposed(self) -> None:
+    def _stop_deposed_owners(self) -> None:
         for shard, owner in list(self.owner_by_shard.items()):
             if owner.journal.deposed.is_set():
-                self._drop(shard)
+                self._stop_owner(shard)
 
-    def _drop(self, shard: ShardId) -> None:
+    def _stop_owner(self, shard: ShardId) -> None:
         owner = self.owner_by_shard.pop(shard)
         self._owned_since_by_shard.pop(shard, None)
         owner.journal.deposed.set()
         owner.stop()
-        branch = self._branch_by_shard.pop(shard, None)
-        if branch is not None:
-            self._supervisor.once(f"stop-{shard}", branch.stop)
+        supervisor = self._supervisor_by_shard.pop(shard, None)
+        if supervisor is not None:
+            self._supervisor.once(f"stop-{shard}", supervisor.stop)
         log.info("Owns a shard no longer", extra={"shard": shard})
         self._announce()
--- a/wagtailcleat/batch/placement.py
+++ b/wagtailcleat/batch/placement.py
@@ -11,8 +11,8 @@
 from wagtailcleat.wire.jobs import JobSpec
 from wagtailcleat.wire.membership import Member, MemberState
 
-SAMPLE = 8
-HINT_SECONDS = 10.0
+SAMPLE_SIZE = 8
+FREE_HINT_TTL_SECONDS = 10.0
 UNKNOWN_FREE_SHARE = 0.5
 
 
@@ -43,7 +43,7 @@
     ]
 
 
-def candidates(
+def sample_candidates(
     agents: list[Member],
     task: TaskRecord,
     size: Resources,
@@ -53,23 +53,23 @@
     now: float,
 ) -> list[Candidate]:
     """Return a sample of agents that may have room, not the ones it failed on."""
-    fresh = _not_failed_on(agents, task)
+    eligible = _not_failed_on(agents, task)
     found = []
-    for member in rng.sample(fresh, len(fresh)):
-        free = _free(view, member.node, now)
+    for member in rng.sample(eligible, len(eligible)):
+        free = _recent_free(view, member.node, now)
         if free is None or size.fits(free):
             found.append(Candidate(member, free or Resources()))
-        if len(found) >= SAMPLE:
+        if len(found) >= SAMPLE_SIZE:
             break
     return found
 
 
-def any_of(
+def sample_any(
     agents: list[Member], task: TaskRecord, *, rng: random.Random
 ) -> list[Candidate]:
     """Return a sample of agents, whether or not they seem to have room."""
-    fresh = _not_failed_on(agents, task)
-    chosen = rng.sample(fresh, min(SAMPLE, len(fresh)))
+    eligible = _not_failed_on(agents, task)
+    chosen = rng.sample(eligible, min(SAMPLE_SIZE, len(eligible)))
     return [Candidate(member, Resources()) for member in chosen]
 
 
@@ -77,11 +77,11 @@
     return [m for m in agents if m.vm not in task.failed_on] or agents
 
 
-def best_fit(
+def order_by_best_fit(
     found: list[Candidate],
     size: Resources,
     configuration: Configuration,
-    owners_vm: VmName,
+    owner_vm: VmName,
 ) -> list[Candidate]:
     """Order by what would be left, the least first; unknown ones last.
 
@@ -90,30 +90,30 @@
     at once, the next owner could not tell for long whether the task still runs.
     """
     rack_by_vm = {vm.name: vm.rack for vm in configuration.inventory.vms}
-    rack = rack_by_vm.get(owners_vm)
+    rack = rack_by_vm.get(owner_vm)
 
     def order(candidate: Candidate) -> tuple[bool, bool, bool, float]:
         vm = candidate.member.vm
-        near = rack is not None and rack_by_vm.get(vm) == rack
-        return vm == owners_vm, near, *_left(candidate, size)
+        same_rack = rack is not None and rack_by_vm.get(vm) == rack
+        return vm == owner_vm, same_rack, *_leftover(candidate, size)
 
     return sorted(found, key=order)
 
 
-def _left(candidate: Candidate, size: Resources) -> tuple[bool, float]:
+def _leftover(candidate: Candidate, size: Resources) -> tuple[bool, float]:
     left = candidate.free - size
     unknown = candidate.free == Resources()
     return unknown, left.accelerators * 1000 + left.cores + left.memory_mb / 4096
 
 
-def _free(view: View, node: NodeId, now: float) -> Resources | None:
+def _recent_free(view: View, node: NodeId, now: float) -> Resources | None:
     hint = view.free_by_node.get(node)
-    if hint is None or now - hint[1] > HINT_SECONDS:
+    if hint is None or now - hint[1] > FREE_HINT_TTL_SECONDS:
         return None
     return hint[0]
 
 
-def feasible(configuration: Configuration, spec: JobSpec) -> str:
+def infeasible_reason(configuration: Configuration, spec: JobSpec) -> str:
     """Return why no VM of the inventory could ever hold a task; empty if one could."""
     size = spec.task.size
     for vm in configuration.inventory.vms:
--- a/wagtailcleat/batch/placer.py
+++ b/wagtailcleat/batch/placer.py
@@ -10,18 +10,18 @@
 
 import msgspec
 
-from wagtailcleat.batch.grants import GrantBook
-from wagtailcleat.batch.journal import Commit
+from wagtailcleat.batch.grants import GrantManager
+from wagtailcleat.batch.journal import CommitOutcome
 from wagtailcleat.batch.placement import (
     Candidate,
-    any_of,
-    best_fit,
-    candidates,
-    feasible,
+    infeasible_reason,
+    order_by_best_fit,
+    sample_any,
+    sample_candidates,
     usable_agents,
 )
 from wagtailcleat.batch.record import Assigned, JobRecord, TaskRecord
-from wagtailcleat.batch.shard import CALL_SECONDS, Shard
+from wagtailcleat.batch.shard import CALL_TIMEOUT_SECONDS, Shard
 from wagtailcleat.batch.shards import team_shards
 from wagtailcleat.configuration.models import team_named
 from wagtailcleat.ids import AttemptId, JobId, TaskId, TeamName
@@ -40,11 +40,11 @@
 from wagtailcleat.wire.results import Done
 from wagtailcleat.wire.task_ids import attempt_id
 
-MAX_PLACED_AT_ONCE = 32
-RESERVE_TRIES = 4
-START_TRIES = 4
-START_PAUSE_SECONDS = 0.2
-NO_ROOM_PAUSE_SECONDS = 0.25
+MAX_CONCURRENT_PLACEMENTS = 32
+MAX_RESERVE_TRIES = 4
+MAX_START_TRIES = 4
+START_RETRY_SECONDS = 0.2
+NO_ROOM_BACKOFF_SECONDS = 0.25
 
 
 @dataclass(frozen=True)
@@ -61,14 +61,14 @@
 class Placer:
     """Places one shard's waiting tasks."""
 
-    def __init__(self, shard: Shard, grants: GrantBook) -> None:
+    def __init__(self, shard: Shard, grants: GrantManager) -> None:
         """Place the tasks of `shard`."""
         self.starts = 0
         self._shard = shard
-        self._grants = grants
-        self._job_by_placing: dict[TaskId, JobRecord] = {}
-        self._tried_by_task: dict[TaskId, int] = {}
-        self._not_before_by_job: dict[JobId, float] = {}
+        self._grant_manager = grants
+        self._job_by_placing_task: dict[TaskId, JobRecord] = {}
+        self._last_number_by_task: dict[TaskId, int] = {}
+        self._retry_at_by_job: dict[JobId, float] = {}
 
     def place(self) -> None:
         """Begin to place the first tasks that wait, within their teams' quotas."""
@@ -81,60 +81,60 @@
         agents = usable_agents(
             shard.view, shard.in_force.configuration, shard.journal.zones_out
         )
-        room_by_team: dict[TeamName, Resources] = {}
+        quota_left_by_team: dict[TeamName, Resources] = {}
         for job, tasks in shard.record.pending():
-            if len(self._job_by_placing) >= MAX_PLACED_AT_ONCE:
+            if len(self._job_by_placing_task) >= MAX_CONCURRENT_PLACEMENTS:
                 break
-            if shard.clock() < self._not_before_by_job.get(job.spec.id, 0.0):
+            if shard.clock() < self._retry_at_by_job.get(job.spec.id, 0.0):
                 continue
             team = job.spec.team
-            if team not in room_by_team:
-                room_by_team[team] = self._quota_left(team)
-            room = room_by_team[team]
-            room_by_team[team] = self._place_job(job, tasks, room, agents)
+            if team not in quota_left_by_team:
+                quota_left_by_team[team] = self._quota_left(team)
+            quota_left = quota_left_by_team[team]
+            quota_left_by_team[team] = self._place_job(job, tasks, quota_left, agents)
 
     def _place_job(
         self,
         job: JobRecord,
         tasks: Iterator[tuple[TaskId, TaskRecord]],
-        room: Resources,
+        quota_left: Resources,
         agents: list[Member],
     ) -> Resources:
         """Begin to place a job's tasks; return what is left of its team's quota."""
         size = job.spec.task.size
         for task_id, task in tasks:
-            full = len(self._job_by_placing) >= MAX_PLACED_AT_ONCE
-            if full or not size.fits(room):
+            full = len(self._job_by_placing_task) >= MAX_CONCURRENT_PLACEMENTS
+            if full or not size.fits(quota_left):
                 break
-            if task_id in self._job_by_placing:
+            if task_id in self._job_by_placing_task:
                 continue
-            room = room - size
-            self._job_by_placing[task_id] = job
-            placing = self._place_one(task_id, job, task, agents)
-            self._shard.in_background(placing)
-        return room
+            quota_left = quota_left - size
+            self._job_by_placing_task[task_id] = job
+            work = self._place_task(task_id, job, task, agents)
+            self._shard.run_in_background(work)
+        return quota_left
 
-    async def _place_one(
+    async def _place_task(
         self, task_id: TaskId, job: JobRecord, task: TaskRecord, agents: list[Member]
     ) -> None:
         # A number is never asked for again: its reservation may have been given up,
         # and then the agent refuses it for good, lest a late start order runs it.
-        number = max(task.attempt, self._tried_by_task.get(task_id, 0)) + 1
-        self._tried_by_task[task_id] = number
+        number = max(task.attempt, self._last_number_by_task.get(task_id, 0)) + 1
+        self._last_number_by_task[task_id] = number
         try:
             attempt = attempt_id(task_id, number)
             placement = await self._reserve(attempt, job, task, agents)
             if placement is None:
-                pause = NO_ROOM_PAUSE_SECONDS * self._shard.random.uniform(0.5, 1.5)
-                self._not_before_by_job[job.spec.id] = self._shard.clock() + pause
+                backoff = NO_ROOM_BACKOFF_SECONDS * self._shard.random.uniform(0.5, 1.5)
+                self._retry_at_by_job[job.spec.id] = self._shard.clock() + backoff
                 return
-            self._not_before_by_job.pop(job.spec.id, None)
+            self._retry_at_by_job.pop(job.spec.id, None)
             if not await self._assign(placement):
                 await self._release(attempt, placement.member)
                 return
         finally:
-            del self._job_by_placing[task_id]
-        del self._tried_by_task[task_id]
+            del self._job_by_placing_task[task_id]
+        del self._last_number_by_task[task_id]
         await self._start(placement)
 
     def _quota_left(self, team: TeamName) -> Resources:
@@ -142,15 +142,15 @@
         found = team_named(shard.in_force.configuration, team)
         if found is None:
             return Resources()
-        lanes = team_shards(found, shard.shards).count(shard.id)
-        share = lanes / found.shards
+        count = team_shards(found, shard.shard_count).count(shard.id)
+        share = count / found.shards
         left = Resources(
             found.cores * share,
             int(found.memory_mb * share),
             int(found.accelerators * share),
         )
-        left = left - shard.record.taken_by(team)
-        for job in self._job_by_placing.values():
+        left = left - shard.record.assigned_resources(team)
+        for job in self._job_by_placing_task.values():
             if job.spec.team == team:
                 left = left - job.spec.task.size
         return left
@@ -162,35 +162,37 @@
         task: TaskRecord,
         agents: list[Member],
     ) -> Placement | None:
-        size = self._size(job.spec)
+        size = self._size_to_reserve(job.spec)
         found = self._candidates(job.spec, task, agents, size)
-        for candidate in found[:RESERVE_TRIES]:
+        for candidate in found[:MAX_RESERVE_TRIES]:
             member = candidate.member
-            answer = await self._ask(attempt, job.spec, member, size)
+            answer = await self._request_reservation(attempt, job.spec, member, size)
             if isinstance(answer, Reserved):
                 return Placement(attempt, job, task, member, answer)
             if isinstance(answer, Lost) and answer.sent:
                 # It may hold the room nonetheless.
-                self._shard.in_background(self._release(attempt, member))
+                self._shard.run_in_background(self._release(attempt, member))
         return None
 
-    def _size(self, spec: JobSpec) -> Resources:
+    def _size_to_reserve(self, spec: JobSpec) -> Resources:
         """Return what to reserve: what the class takes, where a VM can hold it."""
         declared = spec.task.size
         shard = self._shard
-        learned = shard.learning.size(spec.team, spec.job_class, declared)
+        learned = shard.usage_estimates.estimate_size(
+            spec.team, spec.job_class, declared
+        )
         if learned == declared:
             return declared
         task = msgspec.structs.replace(spec.task, size=learned)
         larger = msgspec.structs.replace(spec, task=task)
-        too_large = feasible(shard.in_force.configuration, larger)
+        too_large = infeasible_reason(shard.in_force.configuration, larger)
         return declared if too_large else learned
 
     def _candidates(
         self, spec: JobSpec, task: TaskRecord, agents: list[Member], size: Resources
     ) -> list[Candidate]:
         shard = self._shard
-        found = candidates(
+        found = sample_candidates(
             agents,
             task,
             size,
@@ -200,9 +202,9 @@
         )
         if not found and spec.urgent:
             # An agent makes room for urgent work by evicting what is not urgent.
-            found = any_of(agents, task, rng=shard.random)
+            found = sample_any(agents, task, rng=shard.random)
         configuration = shard.in_force.configuration
-        ordered = best_fit(found, size, configuration, shard.view.me.vm)
+        ordered = order_by_best_fit(found, size, configuration, shard.view.me.vm)
         # The order is kept among VMs whose services the class hurts alike.
         return sorted(
             ordered,
@@ -211,27 +213,27 @@
             ),
         )
 
-    async def _ask(
+    async def _request_reservation(
         self, attempt: AttemptId, spec: JobSpec, member: Member, size: Resources
     ) -> Reserved | Lost | None:
         shard = self._shard
-        ask = Reserve(
+        request = Reserve(
             attempt,
             shard.id,
             shard.journal.epoch,
             size,
             spec.job_class,
             spec.urgent,
-            shard.penalties.known(
+            shard.penalties.expected_slowdown(
                 shard.in_force.configuration, member.vm, spec.job_class
             ),
         )
         answer = await shard.peers.call(
-            member.host, member.port, ask, timeout=CALL_SECONDS
+            member.host, member.port, request, timeout=CALL_TIMEOUT_SECONDS
         )
         if isinstance(answer, Reserved | NoRoom):
             shard.view.note_free(member.node, answer.free, shard.clock())
-            shard.penalties.note(
+            shard.penalties.add(
                 shard.in_force.configuration,
                 member.vm,
                 spec.job_class,
@@ -250,9 +252,11 @@
         )
         outcome = await shard.journal.commit([event])
         # The job may have been cancelled between the reservation and the commit.
-        if outcome is not Commit.COMMITTED or not shard.record.is_current(attempt):
+        if outcome is not CommitOutcome.COMMITTED or not shard.record.is_current(
+            attempt
+        ):
             return False
-        shard.granted_until[attempt] = shard.whole_grant_from(shard.clock())
+        shard.grant_bound_by_attempt[attempt] = shard.grant_bound_from(shard.clock())
         return True
 
     async def _start(self, placement: Placement) -> None:
@@ -267,20 +271,20 @@
             shard.in_force.revision,
         )
         member = placement.member
-        for _ in range(START_TRIES):
+        for _ in range(MAX_START_TRIES):
             answer = await shard.peers.call(
-                member.host, member.port, order, timeout=CALL_SECONDS
+                member.host, member.port, order, timeout=CALL_TIMEOUT_SECONDS
             )
             if isinstance(answer, Done):
                 self.starts += 1
                 return
             if isinstance(answer, AttemptReport):
-                await shard.commit_all(self._grants.ended_events(answer))
+                await shard.commit_all(self._grant_manager.events_for_end(answer))
                 return
-            await asyncio.sleep(START_PAUSE_SECONDS)
+            await asyncio.sleep(START_RETRY_SECONDS)
 
     async def _release(self, attempt: AttemptId, member: Member) -> None:
         order = Release(attempt)
         await self._shard.peers.call(
-            member.host, member.port, order, timeout=CALL_SECONDS
+            member.host, member.port, order, timeout=CALL_TIMEOUT_SECONDS
         )
--- a/wagtailcleat/batch/record.py
+++ b/wagtailcleat/batch/record.py
@@ -25,7 +25,7 @@
 
 
 OPEN_STATES = (TaskState.PENDING, TaskState.ASSIGNED)
-EVICTIONS = (AttemptState.EVICTED, AttemptState.LAPSED)
+EVICTION_STATES = (AttemptState.EVICTED, AttemptState.LAPSED)
 
 
 class Event(msgspec.Struct, frozen=True, array_like=True):
@@ -127,7 +127,7 @@
     ended_at: float = 0.0
     ended_totals: JobTotals | None = None
 
-    def open(self) -> bool:
+    def is_open(self) -> bool:
         """Tell whether a task is still to be run or to end."""
         return any(task.state in OPEN_STATES for task in self.tasks)
 
@@ -179,17 +179,17 @@
     def apply(self, event: AnyEvent) -> None:
         """Fold one committed event into the state."""
         if isinstance(event, JobAccepted):
-            self._accepted(event)
+            self._apply_accepted(event)
         elif isinstance(event, Assigned):
-            self._assigned(event)
+            self._apply_assigned(event)
         elif isinstance(event, AttemptEnded):
-            self._ended(event)
+            self._apply_ended(event)
         elif isinstance(event, JobCancelled):
-            self._cancelled(event.job, event.reason, event.at, stopped=False)
+            self._apply_cancelled(event.job, event.reason, event.at, stopped=False)
         elif isinstance(event, JobStopped):
-            self._cancelled(event.job, event.reason, event.at, stopped=True)
+            self._apply_cancelled(event.job, event.reason, event.at, stopped=True)
         else:
-            self._forgotten(event.job)
+            self._apply_forgotten(event.job)
 
     def task(self, attempt: AttemptId) -> TaskRecord | None:
         """Return the task of an attempt, where the record still has it."""
@@ -207,7 +207,7 @@
         """Tell whether a task of the job is still to be run or to end."""
         return bool(self._pending_by_job.get(job)) or self._assigned_by_job[job] > 0
 
-    def open_tasks(self) -> int:
+    def open_task_count(self) -> int:
         """Return how many tasks are still to be run or to end."""
         return self.pending_count() + len(self.task_by_attempt)
 
@@ -227,13 +227,13 @@
             key=lambda job: (not job.spec.urgent, job.spec.deadline),
         )
         for job in jobs:
-            yield job, self._tasks_to_place(job.spec.id)
+            yield job, self._pending_tasks(job.spec.id)
 
-    def _tasks_to_place(self, job_id: JobId) -> Iterator[tuple[TaskId, TaskRecord]]:
+    def _pending_tasks(self, job_id: JobId) -> Iterator[tuple[TaskId, TaskRecord]]:
         for index, task in self._pending_by_job[job_id].items():
             yield task_id(job_id, index), task
 
-    def taken_by(self, team: str) -> Resources:
+    def assigned_resources(self, team: str) -> Resources:
         """Return what a team's assigned tasks take."""
         total = Resources()
         for job_id, count in self._assigned_by_job.items():
@@ -242,12 +242,12 @@
                 total = total + spec.task.size.times(count)
         return total
 
-    def snapshot(self) -> bytes:
+    def encode_snapshot(self) -> bytes:
         """Return the whole state as bytes."""
         jobs = list(self.job_by_id.values())
         return msgspec.msgpack.encode(Snapshot(self.number, jobs))
 
-    def _accepted(self, event: JobAccepted) -> None:
+    def _apply_accepted(self, event: JobAccepted) -> None:
         # The same job sent twice at once is accepted twice in the log; a second
         # record would forget the attempts of the first, which may be running.
         if event.spec.id in self.job_by_id:
@@ -257,7 +257,7 @@
         self.job_by_id[event.spec.id] = job
         self._index(event.spec.id, job)
 
-    def _assigned(self, event: Assigned) -> None:
+    def _apply_assigned(self, event: Assigned) -> None:
         task = self.task(event.attempt)
         job_id = job_of(event.attempt)
         index = int(event.attempt.split("/")[1])
@@ -270,11 +270,11 @@
         task.node = event.node
         task.incarnation = event.incarnation
         task.starts += 1
-        self._no_longer_pending(job_id, index)
+        self._remove_pending(job_id, index)
         self._assigned_by_job[job_id] += 1
         self.task_by_attempt[event.attempt] = task
 
-    def _ended(self, event: AttemptEnded) -> None:
+    def _apply_ended(self, event: AttemptEnded) -> None:
         task = self.task_by_attempt.pop(event.attempt, None)
         if task is None:
             return
@@ -297,12 +297,12 @@
         if event.state is AttemptState.FAILED:
             task.failures += 1
             task.failed_on = sorted({*task.failed_on, task.vm})
-        if event.state in EVICTIONS and not stopping:
+        if event.state in EVICTION_STATES and not stopping:
             task.evictions += 1
         if not self.is_open(job_id):
             job.end(event.at)
 
-    def _cancelled(
+    def _apply_cancelled(
         self, job_id: JobId, reason: str, at: float, *, stopped: bool
     ) -> None:
         job = self.job_by_id.get(job_id)
@@ -317,11 +317,11 @@
         if not self.is_open(job_id):
             job.end(at)
 
-    def _forgotten(self, job_id: JobId) -> None:
+    def _apply_forgotten(self, job_id: JobId) -> None:
         if job_id in self.job_by_id and not self.is_open(job_id):
             del self.job_by_id[job_id]
 
-    def _no_longer_pending(self, job_id: JobId, index: int) -> None:
+    def _remove_pending(self, job_id: JobId, index: int) -> None:
         waiting = self._pending_by_job[job_id]
         del waiting[index]
         if not waiting:
@@ -337,10 +337,10 @@
                 self._assigned_by_job[job_id] += 1
 
 
-def restore(snapshot: bytes) -> ShardRecord:
+def decode_snapshot(snapshot: bytes) -> ShardRecord:
     """Return the state that `snapshot` holds."""
-    held = msgspec.msgpack.decode(snapshot, type=Snapshot)
-    return ShardRecord({job.spec.id: job for job in held.jobs}, held.number)
+    stored = msgspec.msgpack.decode(snapshot, type=Snapshot)
+    return ShardRecord({job.spec.id: job for job in stored.jobs}, stored.number)
 
 
 def encode_events(events: list[AnyEvent]) -> bytes:
--- a/wagtailcleat/batch/shard.py
+++ b/wagtailcleat/batch/shard.py
@@ -6,10 +6,10 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from wagtailcleat.batch.journal import Commit, Journal
-from wagtailcleat.batch.learning import Learning
+from wagtailcleat.batch.journal import CommitOutcome, Journal
 from wagtailcleat.batch.penalties import Penalties
 from wagtailcleat.batch.record import AnyEvent, ShardRecord
+from wagtailcleat.batch.usage_estimates import UsageEstimates
 from wagtailcleat.clock import Clock
 from wagtailcleat.configuration.parts import InForce
 from wagtailcleat.ids import AttemptId, ShardId
@@ -20,9 +20,9 @@
 
 log = part_logger("batch")
 
-LAPSE_MARGIN = 1.05
-EVENTS_A_COMMIT = 200
-CALL_SECONDS = 1.0
+GRANT_MARGIN_FACTOR = 1.05
+MAX_EVENTS_PER_COMMIT = 200
+CALL_TIMEOUT_SECONDS = 1.0
 
 
 @dataclass
@@ -30,7 +30,7 @@
     """One shard as its owner holds it."""
 
     id: ShardId
-    shards: int
+    shard_count: int
     journal: Journal
     view: View
     in_force: InForce
@@ -41,9 +41,9 @@
     random: random.Random
     may_grant_until: Callable[[], float]
     """Until when this process may hand out grants, on its clock."""
-    learning: Learning = field(default_factory=Learning)
+    usage_estimates: UsageEstimates = field(default_factory=UsageEstimates)
     penalties: Penalties = field(default_factory=Penalties)
-    granted_until: dict[AttemptId, float] = field(default_factory=dict)
+    grant_bound_by_attempt: dict[AttemptId, float] = field(default_factory=dict)
     wake: asyncio.Event = field(default_factory=asyncio.Event)
     _background: set[asyncio.Task[None]] = field(default_factory=set)
 
@@ -52,23 +52,23 @@
         """What is committed."""
         return self.journal.record
 
-    def whole_grant_from(self, now: float) -> float:
+    def grant_bound_from(self, now: float) -> float:
         """Return when a grant answered by `now` has surely lapsed at its agent."""
-        return now + self.timing.grant * LAPSE_MARGIN
+        return now + self.timing.grant * GRANT_MARGIN_FACTOR
 
     async def commit_all(self, events: list[AnyEvent]) -> bool:
         """Commit events that don't depend on one another; tell whether all are."""
         slices = [
-            events[start : start + EVENTS_A_COMMIT]
-            for start in range(0, len(events), EVENTS_A_COMMIT)
+            events[start : start + MAX_EVENTS_PER_COMMIT]
+            for start in range(0, len(events), MAX_EVENTS_PER_COMMIT)
         ]
         outcomes = await asyncio.gather(*(self.journal.commit(s) for s in slices))
         self.wake.set()
-        return all(outcome is Commit.COMMITTED for outcome in outcomes)
+        return all(outcome is CommitOutcome.COMMITTED for outcome in outcomes)
 
-    def in_background(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[None]:
+    def run_in_background(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[None]:
         """Run `work` in a task of its own."""
-        task = asyncio.create_task(_ignore(work))
+        task = asyncio.create_task(_log_exceptions(work))
         self._background.add(task)
         task.add_done_callback(self._background.discard)
         return task
@@ -79,7 +79,7 @@
             task.cancel()
 
 
-async def _ignore(work: Coroutine[Any, Any, Any]) -> None:
+async def _log_exceptions(work: Coroutine[Any, Any, Any]) -> None:
     try:
         await work
     except Exception:
--- a/wagtailcleat/batch/submissions.py
+++ b/wagtailcleat/batch/submissions.py
@@ -2,12 +2,12 @@
 
 from msgspec.structs import replace
 
-from wagtailcleat.batch.accounts import account
-from wagtailcleat.batch.journal import Commit
-from wagtailcleat.batch.placement import feasible
+from wagtailcleat.batch.accounts import encode_account
+from wagtailcleat.batch.journal import CommitOutcome
+from wagtailcleat.batch.placement import infeasible_reason
 from wagtailcleat.batch.record import JobAccepted, JobCancelled, JobRecord
 from wagtailcleat.batch.shard import Shard
-from wagtailcleat.batch.shards import name_of
+from wagtailcleat.batch.shards import job_name
 from wagtailcleat.configuration.models import team_named
 from wagtailcleat.errors import Code
 from wagtailcleat.wire.jobs import (
@@ -23,8 +23,8 @@
 from wagtailcleat.wire.messages import AnyMessage
 from wagtailcleat.wire.results import Refused
 
-MAX_TASKS_A_SHARD = 20_000
-MAX_JOBS_A_SHARD = 2_000
+MAX_OPEN_TASKS_PER_SHARD = 20_000
+MAX_JOBS_PER_SHARD = 2_000
 RETRY_AFTER_SECONDS = 2.0
 
 
@@ -38,9 +38,9 @@
     async def submit(self, message: SubmitJob) -> AnyMessage:
         """Accept a job once it is in the store; the same job twice is one job."""
         shard, sent = self._shard, message.spec
-        known = shard.record.job_by_id.get(sent.id)
-        if known is not None:
-            return self._known(known, sent)
+        existing = shard.record.job_by_id.get(sent.id)
+        if existing is not None:
+            return self._answer_existing(existing, sent)
         if shard.in_force.revision < message.revision:
             # A change that the asker has may not have come here yet: a team that was
             # just added would be refused as unknown.
@@ -49,15 +49,15 @@
         spec = sent
         if spec.deadline == 0:
             spec = replace(spec, deadline=round(now + spec.deadline_seconds, 3))
-        refusal = self._why_not(spec)
+        refusal = self._refusal(spec)
         if refusal is not None:
             return refusal
         outcome = await shard.journal.commit([JobAccepted(spec, now)])
         shard.wake.set()
-        known = shard.record.job_by_id.get(sent.id)
-        if outcome is Commit.COMMITTED and known is not None:
-            return self._known(known, sent)
-        if outcome is Commit.UNKNOWN:
+        existing = shard.record.job_by_id.get(sent.id)
+        if outcome is CommitOutcome.COMMITTED and existing is not None:
+            return self._answer_existing(existing, sent)
+        if outcome is CommitOutcome.UNKNOWN:
             return Refused(
                 Code.OUTCOME_UNKNOWN.value,
                 "the shard's owner changed meanwhile; submit again, it is one job",
@@ -79,8 +79,8 @@
     async def list_jobs(self, message: ListJobs) -> AnyMessage:
         """Return the accounts of a team's jobs in this shard."""
         jobs = self._shard.record.job_by_id.values()
-        mine = [job for job in jobs if job.spec.team == message.team]
-        return JobAccounts([self._account(job).text for job in mine])
+        of_team = [job for job in jobs if job.spec.team == message.team]
+        return JobAccounts([self._account(job).text for job in of_team])
 
     async def cancel(self, message: CancelJob) -> AnyMessage:
         """Cancel a job; running tasks are stopped as their agents hear of it."""
@@ -91,7 +91,7 @@
         if job.cancelled or not shard.record.is_open(message.id):
             return self._account(job)
         event = JobCancelled(message.id, "cancelled by its team", shard.wall_clock())
-        if await shard.journal.commit([event]) is Commit.COMMITTED:
+        if await shard.journal.commit([event]) is CommitOutcome.COMMITTED:
             return self._account(job)
         return Refused(
             Code.UNAVAILABLE.value,
@@ -99,7 +99,7 @@
             RETRY_AFTER_SECONDS,
         )
 
-    def _why_not(self, spec: JobSpec) -> Refused | None:
+    def _refusal(self, spec: JobSpec) -> Refused | None:
         shard = self._shard
         configuration = shard.in_force.configuration
         team = team_named(configuration, spec.team)
@@ -109,7 +109,7 @@
             return Refused(
                 Code.QUOTA.value, "one task alone takes more than the team's quota"
             )
-        reason = feasible(configuration, spec)
+        reason = infeasible_reason(configuration, spec)
         if reason:
             return Refused(Code.INFEASIBLE.value, reason)
         if spec.deadline < shard.wall_clock() + spec.task.run_seconds:
@@ -117,21 +117,26 @@
                 Code.INFEASIBLE.value, "its deadline is before a task could end"
             )
         record = shard.record
-        tasks = record.open_tasks() + spec.tasks
-        if tasks > MAX_TASKS_A_SHARD or len(record.job_by_id) >= MAX_JOBS_A_SHARD:
+        tasks = record.open_task_count() + spec.tasks
+        if (
+            tasks > MAX_OPEN_TASKS_PER_SHARD
+            or len(record.job_by_id) >= MAX_JOBS_PER_SHARD
+        ):
             return Refused(
                 Code.NOT_RUN.value, "the shard is full", 10 * RETRY_AFTER_SECONDS
             )
         return None
 
-    def _known(self, known: JobRecord, spec: JobSpec) -> AnyMessage:
-        fixed = spec if spec.deadline else replace(spec, deadline=known.spec.deadline)
-        if known.spec != fixed:
+    def _answer_existing(self, existing: JobRecord, spec: JobSpec) -> AnyMessage:
+        fixed = (
+            spec if spec.deadline else replace(spec, deadline=existing.spec.deadline)
+        )
+        if existing.spec != fixed:
             return Refused(
                 Code.CONFLICT.value, "another job of this id was accepted before"
             )
-        return self._account(known)
+        return self._account(existing)
 
     def _account(self, job: JobRecord) -> JobAccount:
         now = self._shard.wall_clock()
-        return JobAccount(account(job, name_of(job.spec.id), now))
+        return JobAccount(encode_account(job, job_name(job.spec.id), now))
--- a/wagtailcleat/batch/learning.py
+++ b/wagtailcleat/batch/usage_estimates.py
@@ -14,9 +14,9 @@
 
 PERCENTILE = 0.9
 MIN_SAMPLES = 3
-KEPT_SAMPLES = 50
+MAX_SAMPLES = 50
 """A class is judged by its last tasks alone: so it forgets."""
-MAX_FACTOR = 5.0
+MAX_SIZE_FACTOR = 5.0
 """What is learned never exceeds the declared size so many times: a task that takes
 all it is given would otherwise grow from one attempt to the next."""
 MAX_CLASSES = 2_000
@@ -31,43 +31,52 @@
 
 
 @dataclass
-class Learning:
+class UsageEstimates:
     """The latest samples of each job class of each team."""
 
     samples_by_class: dict[tuple[TeamName, str], deque[Sample]] = field(
         default_factory=dict
     )
 
-    def note(self, team: TeamName, job_class: str, sample: Sample) -> None:
+    def add(self, team: TeamName, job_class: str, sample: Sample) -> None:
         """Take in what an attempt took; the class least lately seen is dropped."""
         key = (team, job_class)
-        kept = self.samples_by_class.pop(key, None) or deque(maxlen=KEPT_SAMPLES)
-        kept.append(sample)
-        self.samples_by_class[key] = kept
+        samples = self.samples_by_class.pop(key, None) or deque(maxlen=MAX_SAMPLES)
+        samples.append(sample)
+        self.samples_by_class[key] = samples
         if len(self.samples_by_class) > MAX_CLASSES:
             del self.samples_by_class[next(iter(self.samples_by_class))]
 
-    def size(self, team: TeamName, job_class: str, declared: Resources) -> Resources:
+    def estimate_size(
+        self, team: TeamName, job_class: str, declared: Resources
+    ) -> Resources:
         """Return what to reserve: the larger of declared and learned."""
         samples = self.samples_by_class.get((team, job_class), ())
         if len(samples) < MIN_SAMPLES:
             return declared
-        cores = _high([s.used.cores for s in samples])
-        memory = _high([s.used.memory_mb for s in samples])
+        cores = _high_percentile([s.used.cores for s in samples])
+        memory = _high_percentile([s.used.memory_mb for s in samples])
         return Resources(
-            min(max(cores, declared.cores), declared.cores * MAX_FACTOR),
-            ceil(min(max(memory, declared.memory_mb), declared.memory_mb * MAX_FACTOR)),
+            min(max(cores, declared.cores), declared.cores * MAX_SIZE_FACTOR),
+            ceil(
+                min(
+                    max(memory, declared.memory_mb),
+                    declared.memory_mb * MAX_SIZE_FACTOR,
+                )
+            ),
             declared.accelerators,
         )
 
-    def run_seconds(self, team: TeamName, job_class: str, declared: float) -> float:
+    def estimate_run_seconds(
+        self, team: TeamName, job_class: str, declared: float
+    ) -> float:
         """Return how long a task will likely run: declared until there are samples."""
         samples = self.samples_by_class.get((team, job_class), ())
         if len(samples) < MIN_SAMPLES:
             return declared
-        return _high([s.run_seconds for s in samples])
+        return _high_percentile([s.run_seconds for s in samples])
 
 
-def _high(values: list[float] | list[int]) -> float:
+def _high_percentile(values: list[float] | list[int]) -> float:
     ordered = sorted(values)
     return float(ordered[min(len(ordered) - 1, int(len(ordered) * PERCENTILE))])
