--- a/wagtailcleat/batch/__init__.py
+++ b/wagtailcleat/batch/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions on batch jobs."""
+"""Scheduling of batch jobs by the owners of shards, one shard per owner."""
--- a/wagtailcleat/batch/accounts.py
+++ b/wagtailcleat/batch/accounts.py
@@ -1,4 +1,7 @@
-"""A job's account for its caller."""
+"""A job's account: the JSON text that tells its caller the job's state.
+
+`Submissions` sends it in answers to callers.
+"""
 
 import json
 
@@ -6,7 +9,7 @@
 
 
 def state_of(job: JobRecord) -> str:
-    """Return one word for how the job stands."""
+    """Return the job's state as one word of the account."""
     if job.is_open():
         if job.cancelled or job.stopped:
             return "stopping"
@@ -20,9 +23,9 @@
 
 
 def late_reason(job: JobRecord, now: float) -> str:
-    """Return why an open job can't end by its deadline; empty while it may.
+    """Return why an open job can't end by its deadline, or "" while it can.
 
-    Parameters: `now` on the wall clock.
+    Parameters: `now` is wall-clock seconds since 1970.
     """
     deadline, run_seconds = job.spec.deadline, job.spec.task.run_seconds
     if not job.is_open() or job.cancelled or job.stopped:
@@ -36,7 +39,11 @@
 
 
 def encode_account(job: JobRecord, name: str, now: float) -> str:
-    """Return the account as JSON text; `now` is on the wall clock."""
+    """Return the account as JSON text.
+
+    Parameters: `name` is the team's name for the job; `now` is wall-clock seconds
+    since 1970.
+    """
     spec = job.spec
     totals = job.totals()
     body: dict[str, object] = {
--- a/wagtailcleat/batch/grants.py
+++ b/wagtailcleat/batch/grants.py
@@ -1,8 +1,9 @@
-"""Grants: an attempt runs while its agent holds one, and lapses without.
+"""Grants: leases on attempts that a shard's owner issues to agents.
 
-The agent counts a grant from when it asked, the owner from when it answered, so the
-owner's view always ends later. The next attempt is committed only after the last
-one's end is reported, or its grant has surely lapsed.
+An attempt may run only while its agent holds a grant for it. The agent counts a
+grant from the sending of its request, the owner from the sending of its answer, so
+the owner's bound is always the later one. The next attempt of a task is committed
+only after the end of the previous one was reported or its grant has lapsed.
 """
 
 import asyncio
@@ -33,21 +34,25 @@
 
 
 class GrantManager:
-    """Hands out grants of one shard, and commits the ends that agents report."""
+    """The grants of one shard, and the commits of the ends that agents report."""
 
     def __init__(self, shard: Shard) -> None:
-        """Grant the attempts of `shard`."""
+        """Issue grants for the attempts of `shard`."""
         self._shard = shard
         self._committing: set[AttemptId] = set()
         self._end_report_by_attempt: dict[AttemptId, AttemptReport] = {}
         self._last_cleanup_at = 0.0
 
     async def renew(self, message: RenewGrants) -> AnyMessage:
-        """Commit the ends an agent reports, and renew its attempts' grants."""
+        """Commit the ends that an agent reports and renew its grants.
+
+        Return `Grants`, or `Refused` if this process is no longer the owner or its
+        own right to issue grants has lapsed.
+        """
         shard = self._shard
         if message.epoch > shard.journal.epoch:
-            # The agent has an order of a later owner: this one has lost the shard
-            # and would not have heard of it before its next commit.
+            # The agent knows a later owner, so this process has lost the shard. It
+            # would otherwise learn of this only at its next commit.
             shard.journal.deposed.set()
         if shard.journal.deposed.is_set():
             return Refused(Code.UNAVAILABLE.value, "no longer the owner")
@@ -61,9 +66,9 @@
         return self._grants(running, ended, fenced)
 
     async def _commit_ends(self, ended: list[AttemptReport]) -> None:
-        # A commit may hang for as long as the store does; grants must not wait for
-        # it, or running tasks would lose theirs. What is committed later is
-        # acknowledged when it is reported again.
+        # A commit can hang for as long as the store does. Grants must not wait for
+        # it, or running tasks would lose theirs. An end that is committed later is
+        # acknowledged when the agent reports it again.
         for report in ended:
             if self._shard.record.is_current(report.attempt):
                 self._end_report_by_attempt[report.attempt] = report
@@ -83,9 +88,11 @@
         self._committing |= attempts
         try:
             await self._shard.commit_all(events)
-            # Ends that are reported in one moment are weighed before any of them is
-            # committed. VMs that are closed to the job then send no more failures,
-            # and it would wait for their pauses although it failed everywhere.
+            # Ends that are reported at the same time are evaluated before any of
+            # them is committed, so none of them shows that the job fails on several
+            # VMs. Those VMs then accept no more tasks of the job and report no more
+            # failures, so without this second check the job would stay pending
+            # until they accept its tasks again.
             stops = [
                 stop
                 for job in _jobs_with_failures(events)
@@ -105,7 +112,10 @@
     def _stop_events_if_failing(
         self, job: JobRecord, failures_by_vm: dict[VmName, int]
     ) -> list[AnyEvent]:
-        """Stop a job whose tasks fail everywhere, also counting failures to come."""
+        """Return the event that stops a job if its tasks fail on every VM tried.
+
+        Parameters: `failures_by_vm` are failures that the record does not have yet.
+        """
         where = _failed_vms_if_failing(job, failures_by_vm)
         if not where:
             return []
@@ -140,16 +150,18 @@
     def _raise_grant_bound(
         self, attempt: AttemptId, until: float, fenced: bool
     ) -> None:
-        # An agent that has not yet taken an order of this epoch may, if this answer
-        # is lost, go on with grants of an earlier owner: their bound stands.
+        # If this answer is lost, an agent that has not yet accepted a request of
+        # this epoch may still use grants of an earlier owner, so their bound holds.
         known = 0.0 if fenced else self._shard.grant_bound_by_attempt.get(attempt, 0.0)
         self._shard.grant_bound_by_attempt[attempt] = max(known, until)
 
     def record_adopted(self, answer: Adopted, held: list[AttemptId]) -> None:
-        """Take an agent's word on which attempts run, and end the others.
+        """Record an agent's answer to `Adopt` and end the attempts it does not list.
 
-        The agent refuses orders of earlier epochs from its answer on, so what it
-        does not list will never start.
+        Once it has answered, the agent refuses requests of earlier epochs, so an
+        attempt that it does not list will never start.
+
+        Parameters: `held` are the attempts that the record assigns to the agent.
         """
         shard = self._shard
         until = shard.grant_bound_from(shard.clock())
@@ -170,9 +182,9 @@
             shard.run_in_background(shard.commit_all(events))
 
     def events_for_end(self, report: AttemptReport) -> list[AnyEvent]:
-        """Return what is to be committed for an end that was reported."""
-        # Reports come twice and late; one of an attempt no longer current is
-        # acknowledged and changes nothing.
+        """Return the events to commit for a reported end; none if it is known."""
+        # Reports may be duplicated or late. A report of an attempt that is not
+        # current is acknowledged and changes nothing.
         if not self._shard.record.is_current(report.attempt):
             return []
         self._add_usage_sample(report)
@@ -192,10 +204,10 @@
         shard = self._shard
         spec = shard.record.job_by_id[job_of(report.attempt)].spec
         task = shard.record.task_by_attempt[report.attempt]
-        # What went on from a checkpoint, or was cut off, says nothing of how long a
-        # whole task runs.
-        whole = report.state is AttemptState.SUCCEEDED and not task.checkpoint
-        if spec.job_class and whole:
+        # An attempt that resumed from a checkpoint or was interrupted does not show
+        # how long a whole task runs.
+        ran_whole_task = report.state is AttemptState.SUCCEEDED and not task.checkpoint
+        if spec.job_class and ran_whole_task:
             sample = Sample(report.used, report.ran_seconds)
             shard.usage_estimates.add(spec.team, spec.job_class, sample)
 
@@ -210,13 +222,16 @@
             where = ", ".join(sorted(failed_on))
             reason = f"task {report.attempt.split('/')[1]} failed on {where}"
             return [JobStopped(job_id, reason, shard.wall_clock())]
-        # VMs close themselves to a job that fails there, so that a job of many
-        # tasks may never see one of them fail on several.
+        # A VM stops accepting tasks of a job that fails there, so in a job of many
+        # tasks it may happen that no single task fails on several VMs.
         job = shard.record.job_by_id[job_id]
         return self._stop_events_if_failing(job, {task.vm: 1})
 
     async def end_lapsed(self) -> None:
-        """End the attempts whose grants have surely lapsed, forget old jobs."""
+        """End attempts whose grants have lapsed, and forget jobs that ended long ago.
+
+        Jobs are checked at most once per `CLEANUP_INTERVAL_SECONDS`.
+        """
         shard = self._shard
         now, wall = shard.clock(), shard.wall_clock()
         current = shard.record.task_by_attempt
@@ -241,8 +256,9 @@
             await shard.commit_all(events)
 
     def _events_for_lapsed(self, attempt: AttemptId, wall: float) -> list[AnyEvent]:
-        # Its end may be known although it could not be committed while the store
-        # was down; the task must resume from that checkpoint and not from before.
+        # The end may have been reported but not committed while the store was down.
+        # The task must then resume from the checkpoint in that report, not from an
+        # earlier one.
         report = self._end_report_by_attempt.get(attempt)
         if report is not None:
             return self.events_for_end(report)
@@ -265,7 +281,9 @@
 
 
 def _failed_vms_if_failing(job: JobRecord, failures_by_vm: dict[VmName, int]) -> str:
-    """Return where a job's tasks failed, if on several VMs and none succeeded.
+    """Return the VMs where a job's tasks failed, if several and none succeeded.
+
+    Return "" if a task succeeded, or too few VMs or failures show a pattern.
 
     Parameters: `failures_by_vm` are failures that the record does not have yet.
     """
--- a/wagtailcleat/batch/holders.py
+++ b/wagtailcleat/batch/holders.py
@@ -1,10 +1,11 @@
-"""Who held a shard before, as the store keeps it until each is settled.
-
-An earlier owner that lost its store lease but not its agents may go on handing out
-grants, up to the bound in the settings. A successor has to know of every such
-owner, also of one before a claimer that died in the middle of its takeover; so a
-claim adds its predecessor to a list in the same transaction, and only an owner that
-has settled all of them clears it.
+"""Earlier owners of a shard, listed in the store until each is settled.
+
+An earlier owner that lost its store lease but can still reach agents may go on
+issuing grants, up to the bound in the settings. A holder is settled once it
+certainly issues no more grants of earlier epochs. The next owner has to know every
+unsettled holder, including one before a claimant that died during its takeover. So
+a claim adds its predecessor to a list in the same transaction, and only an owner
+that has settled all of them clears the list.
 """
 
 import msgspec
@@ -23,7 +24,7 @@
 
 
 class Holder(msgspec.Struct, frozen=True):
-    """One process that owned a shard, or claimed it."""
+    """A process that owned or claimed a shard."""
 
     node: NodeId
     incarnation: Incarnation
@@ -32,26 +33,26 @@
 
 
 class EpochRecord(msgspec.Struct, frozen=True):
-    """What the epoch key holds: the number, and who raised it last."""
+    """Value of the epoch key: the epoch and the process that raised it last."""
 
     epoch: Epoch
     holder: Holder
 
 
 class KnownHolders(msgspec.Struct, frozen=True):
-    """What a claimer read before its claim."""
+    """The epoch and the unsettled holders, as read before a claim."""
 
     epoch: Epoch
     epoch_revision: int
     unsettled: list[Holder]
-    """The last holder, and those before it that may still hand out grants."""
+    """The last holder, and those before it that may still issue grants."""
 
 
 _encode = msgspec.json.Encoder().encode
 
 
 def holder_of(me: Member) -> Holder:
-    """Return this process as a holder."""
+    """Return the holder that stands for this process."""
     return Holder(me.node, me.incarnation, me.host, me.port)
 
 
@@ -61,15 +62,15 @@
 
 
 def encode_earlier_holders(holders: list[Holder]) -> bytes:
-    """Return the value of the key of earlier holders."""
+    """Return the value of the key that lists earlier holders."""
     return _encode(holders)
 
 
 async def read_holders(store: Store, shard: ShardId) -> KnownHolders | None:
-    """Return who held the shard so far, or nothing where the store fails.
+    """Return the shard's unsettled holders, or None if the store fails.
 
-    The two keys are read one after the other. A claim in between changes the epoch,
-    which the claim made after this reading compares.
+    The two keys are not read atomically. A claim between the two reads changes the
+    epoch, and the claim that follows this read compares the epoch and fails.
     """
     epoch = await store.get(shard_epoch(shard))
     earlier = await store.get(shard_earlier(shard))
@@ -86,7 +87,7 @@
 
 
 async def read_epoch(store: Store, shard: ShardId) -> Epoch | None:
-    """Return the shard's epoch, or nothing where the store fails."""
+    """Return the shard's epoch, or None if the store fails."""
     found = await store.get(shard_epoch(shard))
     if isinstance(found, Unavailable):
         return None
@@ -98,7 +99,7 @@
 async def clear_earlier_holders(
     store: Store, shard: ShardId, epoch_value: bytes
 ) -> bool:
-    """Note that all earlier holders are settled; tell whether it was written."""
+    """Empty the list of earlier holders; return whether it was written."""
     txn = Txn(
         [Compare(shard_epoch(shard), value=epoch_value)],
         {shard_earlier(shard): encode_earlier_holders([])},
@@ -107,10 +108,10 @@
 
 
 async def is_settled(holder: Holder, me: Holder, order: StepDown, peers: Peers) -> bool:
-    """Tell whether `holder` surely hands out no grants of an earlier epoch.
+    """Return whether `holder` certainly issues no grants of an earlier epoch.
 
-    It has stepped down, or is this process itself, or a later process of its node
-    has its address, which one process alone can listen on.
+    That holds if it confirmed `order`, if it is this process, or if a later
+    incarnation of its node listens on its address, which only one process can do.
     """
     if holder == me:
         return True
--- a/wagtailcleat/batch/journal.py
+++ b/wagtailcleat/batch/journal.py
@@ -1,8 +1,9 @@
-"""A shard's log in the platform's store: many events to a write, fenced by epoch.
+"""A shard's log in the platform's store, with group commit and fencing by epoch.
 
-Every write compares the shard's epoch, so that an owner that was paused past its
-lease can't commit once another has taken over; and the key of zones out, so that
-no task is placed in a zone after operators took it out.
+The shard's owner commits through it. Every write compares the shard's epoch, which
+serves as the fencing token: an owner that was paused past its lease can't commit
+once another process has taken over. A write that assigns tasks also compares the
+key of zones out, so that no task is placed in a zone after operators took it out.
 """
 
 import asyncio
@@ -51,21 +52,23 @@
 
 
 class CommitOutcome(Enum):
-    """What became of events handed to the journal."""
+    """The result of committing events."""
 
     COMMITTED = "committed"
     ZONES_CHANGED = "zones_changed"
-    """Not written: a zone's state changed since the placement was decided."""
+    """Not written: the zones out changed after the placement was decided."""
     FAILED = "failed"
     """Not written: the store does not answer."""
     DEPOSED = "deposed"
-    """Not written, nor ever will be: another owner has the shard."""
+    """Not written and never will be: another process owns the shard."""
     UNKNOWN = "unknown"
-    """Another owner has the shard, and it may have found the events written."""
+    """In doubt: another process may own the shard and have read the events."""
 
 
 @dataclass
 class _QueuedCommit:
+    """Events that wait to be written, and the future that gets the outcome."""
+
     events: list[AnyEvent]
     size: int
     done: asyncio.Future[CommitOutcome]
@@ -73,7 +76,11 @@
 
 @dataclass
 class Journal:
-    """One owner's hold on one shard's log; `record` is what is committed."""
+    """The log of one shard as one owner writes it, in one epoch.
+
+    `record` is the committed state; `interval` is the least time between two writes
+    in seconds. `deposed` is set, for good, once another process owns the shard.
+    """
 
     store: Store
     shard: ShardId
@@ -92,7 +99,7 @@
     _wake: asyncio.Event = field(default_factory=asyncio.Event)
 
     async def commit(self, events: list[AnyEvent]) -> CommitOutcome:
-        """Write events and return once they are in the store, or surely not."""
+        """Write events and return the outcome once it is known or in doubt for good."""
         if self.deposed.is_set():
             return CommitOutcome.DEPOSED
         done: asyncio.Future[CommitOutcome] = asyncio.get_running_loop().create_future()
@@ -101,7 +108,7 @@
         return await asyncio.shield(done)
 
     async def run(self) -> None:
-        """Write what waits, at most once an interval, until deposed."""
+        """Write queued events, at most one entry per `interval`, until deposed."""
         try:
             while not self.deposed.is_set():
                 await self._wake.wait()
@@ -121,8 +128,8 @@
 
     async def _write_next_entry(self) -> None:
         queued = self._dequeue()
-        # Stopped in the middle of a write, this process can't tell what became of
-        # it: whoever waits must not be told that nothing was written.
+        # If this task is cancelled during a write, the outcome is in doubt. Those
+        # who wait for it must not be told that nothing was written.
         outcome = CommitOutcome.UNKNOWN
         try:
             if queued:
@@ -141,8 +148,9 @@
         return taken
 
     def _snapshot_due(self) -> bool:
-        # A large shard's snapshot is written seldom: only once the log has grown to
-        # a part of its size, so that snapshots stay a fixed share of all writes.
+        # A snapshot is due only once the log has grown to the size of the last
+        # snapshot, so that snapshots stay a fixed share of the bytes written, also
+        # for a large shard.
         entries = self.record.number - self.snapshot_number
         if entries < MIN_ENTRIES_PER_SNAPSHOT:
             return False
@@ -168,8 +176,9 @@
             elif isinstance(outcome, Unavailable) and not unknown:
                 return CommitOutcome.FAILED
             elif isinstance(outcome, Unknown):
-                # The write may have taken effect, or may yet. Sending the same
-                # transaction again is safe: its log key is created once.
+                # The write may have taken effect or may do so later. Sending the
+                # same transaction again is safe, since it requires that the log key
+                # is absent.
                 unknown = True
             await asyncio.sleep(RETRY_PAUSE_SECONDS)
 
@@ -197,8 +206,9 @@
         stored = await self.store.get(entry)
         if isinstance(stored, Found):
             if stored.value == txn.puts[entry]:
-                # Only this owner's epoch could have written these bytes here: the
-                # answer was lost, and this or the HTTP client sent them again.
+                # Only an owner of this epoch can have written these bytes. The
+                # answer was lost, and this loop or the HTTP client sent the
+                # transaction again.
                 return self._apply_committed(number, events)
             self.deposed.set()
             return CommitOutcome.UNKNOWN if unknown else CommitOutcome.DEPOSED
@@ -206,7 +216,7 @@
         if isinstance(epoch, Unavailable) or isinstance(stored, Unavailable):
             return None
         if isinstance(epoch, Absent) or epoch.value != self.epoch_value:
-            # The next owner may have found the entry and put it into a snapshot.
+            # The next owner may have read the entry and included it in a snapshot.
             self.deposed.set()
             return CommitOutcome.UNKNOWN if unknown else CommitOutcome.DEPOSED
         if has_assignments and await self.refresh_zones():
@@ -214,7 +224,7 @@
         return None
 
     async def refresh_zones(self) -> bool:
-        """Read the zones out anew; tell whether they changed."""
+        """Read the zones out from the store; return whether they changed."""
         zones = await read_zones_out(self.store)
         if zones is None or zones[1] == self.zones_revision:
             return False
@@ -229,9 +239,9 @@
         return CommitOutcome.COMMITTED
 
     async def _write_snapshot(self) -> None:
-        # The answer may be lost and the write come late, after further entries:
-        # so it deletes no entry beyond its own number, and compares the snapshot
-        # it replaces, never to put an older one over a newer.
+        # The answer may be lost and the write take effect late, after further
+        # entries. So it deletes no entry beyond its own number, and it compares the
+        # revision of the snapshot it replaces, lest it overwrite a newer one.
         number = self.record.number
         key = shard_snapshot(self.shard)
         parts = _split_snapshot(self.record.encode_snapshot())
@@ -267,13 +277,13 @@
 
 
 def _split_snapshot(snapshot: bytes) -> list[bytes]:
-    # A value of the store has at most a megabyte, and a shard may hold more.
+    # A value in the store is limited to 1 MB, and a snapshot may be larger.
     starts = range(0, len(snapshot), SNAPSHOT_PART_BYTES)
     return [snapshot[start : start + SNAPSHOT_PART_BYTES] for start in starts]
 
 
 async def read_zones_out(store: Store) -> tuple[list[str], int] | None:
-    """Return the zones out and the store's revision of that key."""
+    """Return the zones out and their key's revision, or None if the store fails."""
     found = await store.get(ZONES_OUT)
     if isinstance(found, Found):
         return json.loads(found.value), found.mod_revision
@@ -282,7 +292,7 @@
 
 @dataclass(frozen=True)
 class LoadedShard:
-    """A shard's committed state, and the store's revision of its snapshot."""
+    """A shard's committed state, and the revision and number of its snapshot."""
 
     record: ShardRecord
     snapshot_revision: int
@@ -290,7 +300,7 @@
 
 
 async def load_shard(store: Store, shard: ShardId) -> LoadedShard | None:
-    """Return a shard's committed state, or nothing where the store fails."""
+    """Return a shard's committed state, or None if the store fails."""
     stored = await store.list(shard_snapshot(shard))
     if not isinstance(stored, Listing):
         return None
--- a/wagtailcleat/batch/owner.py
+++ b/wagtailcleat/batch/owner.py
@@ -1,8 +1,10 @@
-"""The owner of one shard: accepts jobs, places tasks, hands out grants.
+"""The owner of one shard: accepts jobs, places tasks and issues grants.
 
-Order of a start: reserve at the agent, commit the assignment, start. An attempt
-runs only while its agent holds a grant; the next attempt is committed only after
-the last one's end is reported, or its grant has surely lapsed.
+`Ownership` creates an owner for each shard that this agent has claimed. To start an
+attempt, the owner reserves resources at an agent, commits the assignment and sends
+the start order. An attempt runs only while its agent holds a grant; the next attempt
+of a task is committed only after the end of the previous one was reported or its
+grant has lapsed.
 """
 
 import asyncio
@@ -20,7 +22,7 @@
 
 
 class Owner:
-    """One shard, owned by this process as long as its journal is not deposed."""
+    """A shard that this process owns until its journal is deposed."""
 
     def __init__(self, shard: Shard, earlier: list[Holder]) -> None:
         """Own `shard`, taken over from the `earlier` holders."""
@@ -32,11 +34,14 @@
 
     @property
     def journal(self) -> Journal:
-        """The hold on the shard's log."""
+        """The shard's log."""
         return self.shard.journal
 
     async def order(self, message: AnyMessage) -> AnyMessage:
-        """Carry out an order of a caller or an agent."""
+        """Handle a message that concerns the shard and return the answer.
+
+        Callers submit, show, list and cancel jobs; agents renew grants.
+        """
         if isinstance(message, SubmitJob):
             return await self._submissions.submit(message)
         if isinstance(message, ShowJob):
@@ -49,7 +54,7 @@
         return await self._grant_manager.renew(message)
 
     async def run(self) -> None:
-        """End what lapsed and place what waits, until deposed."""
+        """End lapsed attempts and place pending tasks, until deposed."""
         shard = self.shard
         while not self.journal.deposed.is_set():
             shard.wake.clear()
@@ -63,7 +68,7 @@
                 continue
 
     def stop(self) -> None:
-        """Stop what runs in the background."""
+        """Cancel the background tasks."""
         self.shard.stop_background()
 
     def dump(self) -> dict[str, object]:
@@ -80,8 +85,9 @@
         }
 
     async def _refresh_zones_if_changed(self) -> None:
-        # A zone that comes back shows in no conflict while no task is placed, so
-        # the store is read where the journal and the view differ.
+        # A conflict shows that a zone went out, but none occurs while no task can
+        # be placed, so a zone that is back in use would go unnoticed. The store is
+        # read if the journal and the configuration in force differ.
         zones_out = self.shard.in_force.configuration.zones_out
         if sorted(zones_out) != sorted(self.journal.zones_out):
             await self.journal.refresh_zones()
--- a/wagtailcleat/batch/ownership.py
+++ b/wagtailcleat/batch/ownership.py
@@ -1,8 +1,8 @@
-"""Which shards this agent owns: claimed in the store, under a store lease.
+"""Ownership of shards: this agent's claims in the store, under a store lease.
 
-A claim raises the shard's epoch in the same transaction that takes the owner key,
-so of two agents that claim at once one wins, and an owner that was paused past its
-lease can't commit any more.
+`ShardHosting` wires it into the agent. A claim raises the shard's epoch in the same
+transaction that creates the owner key. So one of two agents that claim at the same
+time wins, and an owner that was paused past its lease can't commit any more.
 """
 
 import asyncio
@@ -57,14 +57,14 @@
 
 @dataclass(frozen=True)
 class Claim:
-    """A shard just taken, and who may still hand out grants for it."""
+    """A successful claim: its epoch, and who may still issue grants for the shard."""
 
     epoch: Epoch
     earlier: list[Holder]
 
 
 class Ownership:
-    """The shards of this agent, each with its owner and the owner's tasks."""
+    """The shards that this agent owns, each with its `Owner` and running tasks."""
 
     def __init__(
         self,
@@ -81,15 +81,15 @@
         closed: Callable[[], str],
         may_own: Callable[[Member], bool],
     ) -> None:
-        """Own the shards that fall to this agent by rendezvous hashing.
+        """Own the shards that rendezvous hashing assigns to this agent.
 
-        Parameters: `announce` is called when the shards owned change; `closed`
-        tells why no shard may be taken, or is empty; `may_own` tells whether another
-        agent may take shards, as far as is known here.
+        Parameters: `announce` is called when the owned shards change; `closed`
+        returns why this agent may claim no shard, or ""; `may_own` returns whether
+        an agent may own shards, as far as this agent knows.
         """
         self.owner_by_shard: dict[ShardId, Owner] = {}
         self.lease_renewed_at = 0.0
-        """When the store last confirmed the lease, counted from the asking."""
+        """When the last renewal that the store confirmed was sent."""
         self._lease = ""
         self._store = store
         self._view = view
@@ -111,18 +111,19 @@
         self._supervisor_by_shard: dict[ShardId, Supervisor] = {}
 
     def may_grant_until(self) -> float:
-        """Return until when grants may be handed out, on this process's clock.
+        """Return until when grants may be issued, on this process's clock.
 
-        Grants go on while the store is out, up to the bound that a successor
-        waits for agents it can't ask.
+        Grants are still issued while the store is down, for at most the
+        `outage_grant` time. A successor waits that long for agents and owners that
+        it can't reach.
         """
         return self.lease_renewed_at + self._timing.outage_grant
 
     async def run(self) -> None:
-        """Keep the lease and claim shards, until cancelled."""
-        # A claim and its takeover are many calls; were the lease renewed in turn with
-        # them, a store that answers late would let it lapse, and all shards be dropped
-        # and claimed again without end.
+        """Renew the lease and claim shards, until cancelled."""
+        # A claim and its takeover take many calls. If the lease were renewed in the
+        # same task, a slow store would let it lapse, and all shards would be lost and
+        # claimed again without end.
         await asyncio.gather(self._run_lease_renewal(), self._run_claims())
 
     async def _run_lease_renewal(self) -> None:
@@ -144,7 +145,7 @@
             await asyncio.sleep(pause * self._random.uniform(0.7, 1.3))
 
     async def give_up(self) -> None:
-        """Hand all shards back, so that others claim them at once."""
+        """Release all shards, so that other agents can claim them at once."""
         for shard in list(self.owner_by_shard):
             self._stop_owner(shard)
         if self._lease:
@@ -152,8 +153,11 @@
             self._lease = ""
 
     def step_down(self, message: StepDown) -> Done:
-        """Hand out no more grants for a shard that a newer epoch has taken."""
-        # It may come in the middle of a takeover here, before there is an owner.
+        """Stop owning a shard that was claimed in a newer epoch, and confirm it.
+
+        No grants of earlier epochs are issued after the answer.
+        """
+        # The request may arrive during a takeover here, before there is an owner.
         known = self._stepped_down_by_shard.get(message.shard, Epoch(0))
         self._stepped_down_by_shard[message.shard] = max(known, message.epoch)
         owner = self.owner_by_shard.get(message.shard)
@@ -161,8 +165,6 @@
             self._stop_owner(message.shard)
         return Done()
 
-    # ---- the store lease
-
     async def _renew_lease(self) -> None:
         sent_at = self._clock()
         if self._lease:
@@ -173,7 +175,7 @@
             if isinstance(renewed, Leased):
                 self.lease_renewed_at = sent_at
             elif isinstance(renewed, LeaseGone):
-                log.warning("The store lease lapsed")
+                log.warning("The store lease lapsed; all owned shards are lost")
                 self._lease = ""
                 for shard in list(self.owner_by_shard):
                     self._stop_owner(shard)
@@ -183,8 +185,6 @@
             self._lease = leased.id
             self.lease_renewed_at = sent_at
 
-    # ---- claiming
-
     def _claimable_shards(self) -> list[ShardId]:
         agents = self._eligible_agents()
         owned = self._owned_elsewhere()
@@ -216,13 +216,15 @@
         ranked = self._ranked_candidates(shard, agents)
         if self._view.me.node not in ranked:
             return False
-        # The next in line step in too, but seldom, where the first does not.
+        # Lower-ranked agents claim too, with a small probability, in case the first
+        # does not.
         rank = ranked.index(self._view.me.node)
         return self._random.random() < FALLBACK_CLAIM_PROBABILITY**rank
 
     def _ranked_candidates(self, shard: ShardId, agents: list[NodeId]) -> list[NodeId]:
-        # Ranking a thousand agents for each free shard, each round, would take a
-        # good part of a core while no owner is known; so it is done once a change.
+        # Ranking 1000 agents for each free shard in each round would take a large
+        # part of a core while no owner is known. So the ranking is kept until the
+        # agents change.
         if agents != self._ranked_agents:
             self._ranked_agents = agents
             self._candidates_by_shard.clear()
@@ -233,9 +235,9 @@
         return self._candidates_by_shard[shard]
 
     async def _try_claim(self, shard: ShardId) -> None:
-        # A lost owner's key stands until its store lease ends; claims before that
-        # would only be refused, and writes are what the store has few of. A key of
-        # this process's own is left from a claim whose answer was lost.
+        # The key of a failed owner exists until its store lease lapses. Claims before
+        # that would only be refused, and the store's write rate is limited. A key of
+        # this process itself is left from a claim whose answer was lost.
         lease = self._lease
         current_owner, known = await asyncio.gather(
             self._store.get(shard_owner(shard)), read_holders(self._store, shard)
@@ -267,15 +269,15 @@
         txn = Txn(compares, puts, owner_key, self._lease)
         outcome = await self._store.write(txn)
         if isinstance(outcome, Unknown | Conflict):
-            # A lost answer makes the HTTP client send the claim again, and then the
-            # claim conflicts with itself.
+            # If the answer is lost, the HTTP client sends the claim again, which then
+            # conflicts with the first one.
             read = await self._store.get(shard_epoch(shard))
             if isinstance(read, Found) and read.value == value:
                 outcome = Written(read.mod_revision)
         if isinstance(outcome, Written):
             return Claim(epoch, known.unsettled)
-        # A claim of this process whose answer was lost may have taken effect after
-        # all; then this process keeps the key alive and nobody owns the shard.
+        # A claim whose answer was lost may have taken effect. This process's lease
+        # would then keep the owner key alive while nobody owns the shard.
         await self._delete_owner_key(shard)
         return None
 
@@ -283,7 +285,7 @@
         loaded = await load_shard(self._store, shard)
         zones = await read_zones_out(self._store)
         stepped_down = self._stepped_down_by_shard.get(shard, Epoch(0)) > claim.epoch
-        # The lease may have lapsed meanwhile, and the owner key gone with it.
+        # The lease may have lapsed in the meantime, which deletes the owner key.
         lapsed = lease != self._lease
         if loaded is None or zones is None or stepped_down or lapsed:
             await self._delete_owner_key(shard)
@@ -308,7 +310,9 @@
         supervisor.spawn("journal", journal.run)
         supervisor.spawn("takeover", owner.takeover.run)
         supervisor.spawn("placement", owner.run)
-        log.info("Owns a shard", extra={"shard": shard, "epoch": claim.epoch})
+        log.info(
+            "Took ownership of a shard", extra={"shard": shard, "epoch": claim.epoch}
+        )
         self._announce()
 
     async def _delete_owner_key(self, shard: ShardId) -> None:
@@ -320,13 +324,12 @@
         me = self._view.me
         return f"{me.node}|{me.incarnation}".encode()
 
-    # ---- losing
-
     async def _release_excess(self) -> None:
-        # Whoever starts first claims all shards, and would hold them for ever, at
-        # many times its share of processor time and bytes. So an owner of more than
-        # its share hands one back at a time, when the agent that is first for it
-        # would take it; its earlier holder answers at once, so little stands still.
+        # The first agent to start claims all shards and would keep them, at many
+        # times its share of CPU time and traffic. So an agent that owns more than
+        # its share releases one shard at a time, and only one for which another
+        # agent ranks first. The new owner settles this holder at once, since it
+        # answers, so the shard's work is interrupted only briefly.
         now = self._clock()
         pause = self._timing.rebalance
         if (
@@ -358,5 +361,5 @@
         supervisor = self._supervisor_by_shard.pop(shard, None)
         if supervisor is not None:
             self._supervisor.once(f"stop-{shard}", supervisor.stop)
-        log.info("Owns a shard no longer", extra={"shard": shard})
+        log.info("Lost or released ownership of a shard", extra={"shard": shard})
         self._announce()
--- a/wagtailcleat/batch/penalties.py
+++ b/wagtailcleat/batch/penalties.py
@@ -1,8 +1,9 @@
-"""How much a job class slows services down, as agents told this owner.
+"""Slowdown of services by job classes, as agents report it to a shard's owner.
 
-An agent learns it for the services on its own VM. What it tells with each answer to
-a reservation is taken for every VM with the same services, so that a pair known to
-be bad on one VM is not tried on all the others.
+Each agent estimates the slowdown (the penalty) for the services on its own VM and
+sends it with each answer to a reservation. The placer applies it to every VM with
+the same services, so that a combination known to be bad on one VM is not tried on
+all the others.
 """
 
 from dataclasses import dataclass, field
@@ -14,13 +15,13 @@
 
 SMOOTHING_FACTOR = 0.3
 LEVEL_THRESHOLDS = (0.005, 0.015, 0.04)
-"""Slowdown for each core from which on a VM is asked later than others."""
+"""Slowdown per core at which a VM moves to the next level and is tried later."""
 MAX_PAIRS = 10_000
 
 
 @dataclass
 class Penalties:
-    """The latest slowdown for one core, by the services of a VM and a job class."""
+    """Smoothed slowdown per core, by a VM's services and a job class."""
 
     slowdown_by_pair: dict[tuple[ServiceNames, str], float] = field(
         default_factory=dict
@@ -35,7 +36,10 @@
         job_class: str,
         penalty: float | None,
     ) -> None:
-        """Take what an agent told, if it knows the class."""
+        """Add the slowdown that an agent reported; ignore None.
+
+        An agent reports None for a job class that it has no estimate for.
+        """
         if penalty is None:
             return
         pair = (self._services_on(configuration, vm), job_class)
@@ -47,13 +51,13 @@
     def expected_slowdown(
         self, configuration: Configuration, vm: VmName, job_class: str
     ) -> float | None:
-        """Return the slowdown to expect on a VM, if any agent has told one."""
+        """Return the expected slowdown per core on a VM, or None if not reported."""
         return self.slowdown_by_pair.get(
             (self._services_on(configuration, vm), job_class)
         )
 
     def level(self, configuration: Configuration, vm: VmName, job_class: str) -> int:
-        """Return how late a VM is to be asked, from 0 on."""
+        """Return a VM's level: VMs of level 0 are tried first, higher ones later."""
         pair = (self._services_on(configuration, vm), job_class)
         penalty = self.slowdown_by_pair.get(pair, 0.0)
         return sum(penalty > limit for limit in LEVEL_THRESHOLDS)
--- a/wagtailcleat/batch/placement.py
+++ b/wagtailcleat/batch/placement.py
@@ -1,4 +1,4 @@
-"""Which VM an attempt is asked for first, and in which order tasks are placed."""
+"""Choice of the agents that the placer asks to run an attempt, best first."""
 
 import random
 from dataclasses import dataclass
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class Candidate:
-    """An agent that may take an attempt, and what it likely has free."""
+    """An agent that may run an attempt, and what it last reported as free."""
 
     member: Member
     free: Resources
@@ -27,10 +27,11 @@
 def usable_agents(
     view: View, configuration: Configuration, zones_out: list[str]
 ) -> list[Member]:
-    """Return the agents that may take new tasks at all.
+    """Return the agents that may run new tasks.
 
-    Parameters: `zones_out` as the journal read them from the store, which may be
-    newer than what is in force here; commits are checked against those.
+    Parameters: `zones_out` are the zones out as the journal read them from the
+    store. They may be newer than the configuration in force here, and commits are
+    checked against them.
     """
     vms = {vm.name for vm in configuration.inventory.vms}
     return [
@@ -52,7 +53,11 @@
     rng: random.Random,
     now: float,
 ) -> list[Candidate]:
-    """Return a sample of agents that may have room, not the ones it failed on."""
+    """Return a random sample of agents that may have room for a task.
+
+    VMs on which the task failed are left out unless it failed on all of them. An
+    agent without a recent report of what is free may have room.
+    """
     eligible = _not_failed_on(agents, task)
     found = []
     for member in rng.sample(eligible, len(eligible)):
@@ -67,7 +72,7 @@
 def sample_any(
     agents: list[Member], task: TaskRecord, *, rng: random.Random
 ) -> list[Candidate]:
-    """Return a sample of agents, whether or not they seem to have room."""
+    """Return a random sample of agents, whatever they reported as free."""
     eligible = _not_failed_on(agents, task)
     chosen = rng.sample(eligible, min(SAMPLE_SIZE, len(eligible)))
     return [Candidate(member, Resources()) for member in chosen]
@@ -83,11 +88,12 @@
     configuration: Configuration,
     owner_vm: VmName,
 ) -> list[Candidate]:
-    """Order by what would be left, the least first; unknown ones last.
+    """Return candidates by what would be left free, least first, unknown last.
 
-    Tight VMs fill up first, so that room for large tasks stays whole. The owner's
-    own VM comes last of all, and its rack next to last: were task and owner lost
-    at once, the next owner could not tell for long whether the task still runs.
+    The fullest VMs are filled first, so that large tasks still find a VM with room.
+    The owner's own VM comes last and the other VMs of its rack before it: if a task
+    and its owner were lost together, the next owner would not know for a long time
+    whether the task still runs.
     """
     rack_by_vm = {vm.name: vm.rack for vm in configuration.inventory.vms}
     rack = rack_by_vm.get(owner_vm)
@@ -114,7 +120,7 @@
 
 
 def infeasible_reason(configuration: Configuration, spec: JobSpec) -> str:
-    """Return why no VM of the inventory could ever hold a task; empty if one could."""
+    """Return why no VM of the inventory can ever hold a task, or "" if one can."""
     size = spec.task.size
     for vm in configuration.inventory.vms:
         on_vm = placed(configuration, VmName(vm.name))
--- a/wagtailcleat/batch/placer.py
+++ b/wagtailcleat/batch/placer.py
@@ -1,7 +1,8 @@
-"""Starts what waits: reserve at an agent, commit the assignment, start.
+"""Placement of pending tasks: reserve at an agent, commit the assignment, start.
 
-Each placement is a task of its own, so that a slow agent delays only the attempt
-asked of it; the journal writes their assignments together.
+The shard's owner calls `Placer.place` each round. Each placement runs in its own
+asyncio task, so that a slow agent delays only the attempt requested from it. The
+journal writes the assignments in groups.
 """
 
 import asyncio
@@ -49,7 +50,7 @@
 
 @dataclass(frozen=True)
 class Placement:
-    """A reservation that an agent made for an attempt."""
+    """An attempt and the reservation that an agent made for it."""
 
     attempt: AttemptId
     job: JobRecord
@@ -59,7 +60,7 @@
 
 
 class Placer:
-    """Places one shard's waiting tasks."""
+    """Places the pending tasks of one shard."""
 
     def __init__(self, shard: Shard, grants: GrantManager) -> None:
         """Place the tasks of `shard`."""
@@ -71,10 +72,11 @@
         self._retry_at_by_job: dict[JobId, float] = {}
 
     def place(self) -> None:
-        """Begin to place the first tasks that wait, within their teams' quotas."""
+        """Start placing the first pending tasks, within their teams' quotas."""
         shard = self._shard
         if shard.journal.store.holding_back:
-            # No assignment can be committed: reservations would only hold room.
+            # No assignment can be committed, so reservations would block room in
+            # vain.
             return
         if not shard.record.pending_count():
             return
@@ -100,7 +102,7 @@
         quota_left: Resources,
         agents: list[Member],
     ) -> Resources:
-        """Begin to place a job's tasks; return what is left of its team's quota."""
+        """Start placing a job's tasks; return what is left of its team's quota."""
         size = job.spec.task.size
         for task_id, task in tasks:
             full = len(self._job_by_placing_task) >= MAX_CONCURRENT_PLACEMENTS
@@ -117,8 +119,9 @@
     async def _place_task(
         self, task_id: TaskId, job: JobRecord, task: TaskRecord, agents: list[Member]
     ) -> None:
-        # A number is never asked for again: its reservation may have been given up,
-        # and then the agent refuses it for good, lest a late start order runs it.
+        # An attempt number is never reused. If its reservation was released, the
+        # agent refuses the attempt for good, so that a delayed start order can't run
+        # it.
         number = max(task.attempt, self._last_number_by_task.get(task_id, 0)) + 1
         self._last_number_by_task[task_id] = number
         try:
@@ -170,23 +173,26 @@
             if isinstance(answer, Reserved):
                 return Placement(attempt, job, task, member, answer)
             if isinstance(answer, Lost) and answer.sent:
-                # It may hold the room nonetheless.
+                # The agent may have reserved the room although the answer was lost.
                 self._shard.run_in_background(self._release(attempt, member))
         return None
 
     def _size_to_reserve(self, spec: JobSpec) -> Resources:
-        """Return what to reserve: what the class takes, where a VM can hold it."""
+        """Return the size to reserve: the class's estimate if a VM can hold it.
+
+        Return the declared size otherwise.
+        """
         declared = spec.task.size
         shard = self._shard
-        learned = shard.usage_estimates.estimate_size(
+        estimate = shard.usage_estimates.estimate_size(
             spec.team, spec.job_class, declared
         )
-        if learned == declared:
+        if estimate == declared:
             return declared
-        task = msgspec.structs.replace(spec.task, size=learned)
+        task = msgspec.structs.replace(spec.task, size=estimate)
         larger = msgspec.structs.replace(spec, task=task)
         too_large = infeasible_reason(shard.in_force.configuration, larger)
-        return declared if too_large else learned
+        return declared if too_large else estimate
 
     def _candidates(
         self, spec: JobSpec, task: TaskRecord, agents: list[Member], size: Resources
@@ -201,11 +207,11 @@
             now=shard.clock(),
         )
         if not found and spec.urgent:
-            # An agent makes room for urgent work by evicting what is not urgent.
+            # An agent makes room for urgent work by preempting work that is not.
             found = sample_any(agents, task, rng=shard.random)
         configuration = shard.in_force.configuration
         ordered = order_by_best_fit(found, size, configuration, shard.view.me.vm)
-        # The order is kept among VMs whose services the class hurts alike.
+        # The sort is stable: VMs of one penalty level stay in best-fit order.
         return sorted(
             ordered,
             key=lambda c: shard.penalties.level(
--- a/wagtailcleat/batch/record.py
+++ b/wagtailcleat/batch/record.py
@@ -1,4 +1,8 @@
-"""A shard's record: jobs, tasks and attempts, folded from its committed events."""
+"""A shard's record: the state of its jobs, tasks and attempts.
+
+The journal builds it by applying the committed events of the shard's log in order,
+so every owner that reads the same log has the same record.
+"""
 
 from collections import Counter
 from collections.abc import Iterator
@@ -15,7 +19,7 @@
 
 
 class TaskState(Enum):
-    """How a task stands; only `PENDING` and `ASSIGNED` are open."""
+    """State of a task; a task in state `PENDING` or `ASSIGNED` is open."""
 
     PENDING = "pending"
     ASSIGNED = "assigned"
@@ -29,7 +33,7 @@
 
 
 class Event(msgspec.Struct, frozen=True, array_like=True):
-    """Base of what a shard's log holds; `at` is wall-clock seconds since 1970."""
+    """Base of the events in a shard's log; `at` is wall-clock seconds since 1970."""
 
 
 class JobAccepted(Event, frozen=True, tag="job"):
@@ -40,7 +44,7 @@
 
 
 class Assigned(Event, frozen=True, tag="assigned"):
-    """An attempt was given to a VM; it may start from now on."""
+    """An attempt was assigned to a VM; it may start from now on."""
 
     attempt: AttemptId
     vm: VmName
@@ -50,7 +54,7 @@
 
 
 class AttemptEnded(Event, frozen=True, tag="ended"):
-    """An attempt surely runs no more."""
+    """An attempt has ended or will never start; it certainly does not run."""
 
     attempt: AttemptId
     state: AttemptState
@@ -68,7 +72,7 @@
 
 
 class JobStopped(Event, frozen=True, tag="stopped"):
-    """A job is given up: it can't be run."""
+    """A job is stopped because its tasks keep failing."""
 
     job: JobId
     reason: str
@@ -87,7 +91,7 @@
 
 
 class TaskRecord(msgspec.Struct, array_like=True):
-    """A task; `attempt` is the number of its last attempt, which may run."""
+    """A task; `attempt` is the number of its last attempt, which may be running."""
 
     state: TaskState = TaskState.PENDING
     attempt: int = 0
@@ -99,11 +103,11 @@
     evictions: int = 0
     failed_on: list[VmName] = []
     starts: int = 0
-    """How often it was given to a VM; `attempt` may leave numbers out."""
+    """How often the task was assigned to a VM; attempt numbers may have gaps."""
 
 
 class JobTotals(msgspec.Struct, array_like=True):
-    """What is said of a job's tasks taken together."""
+    """Totals over all tasks of a job."""
 
     count_by_state: dict[TaskState, int]
     attempts: int
@@ -112,10 +116,10 @@
 
 
 class JobRecord(msgspec.Struct, array_like=True):
-    """A job and its tasks, by index; an ended one keeps only their totals.
+    """A job and its tasks, by index; an ended job keeps only the totals.
 
-    A job's account is kept for a day. With all its tasks, a shard at the peak would
-    outgrow the store's largest value within the hour.
+    An ended job's account is kept for a day. If its tasks were kept too, a shard at
+    peak load would outgrow the store's largest value within an hour.
     """
 
     spec: JobSpec
@@ -128,7 +132,7 @@
     ended_totals: JobTotals | None = None
 
     def is_open(self) -> bool:
-        """Tell whether a task is still to be run or to end."""
+        """Return whether any task is pending or assigned."""
         return any(task.state in OPEN_STATES for task in self.tasks)
 
     def count(self, state: TaskState) -> int:
@@ -136,7 +140,7 @@
         return self.totals().count_by_state.get(state, 0)
 
     def totals(self) -> JobTotals:
-        """Return what is said of the tasks taken together."""
+        """Return the totals over all tasks."""
         if self.ended_totals is not None:
             return self.ended_totals
         return JobTotals(
@@ -147,14 +151,14 @@
         )
 
     def end(self, at: float) -> None:
-        """Note that no task is open any longer."""
+        """Mark the job as ended, and replace its tasks by their totals."""
         self.ended_at = at
         self.ended_totals = self.totals()
         self.tasks = []
 
 
 class Snapshot(msgspec.Struct, array_like=True):
-    """A shard's whole state after the log entry `number`."""
+    """A shard's whole state up to and including log entry `number`."""
 
     number: int
     jobs: list[JobRecord]
@@ -162,22 +166,25 @@
 
 @dataclass
 class ShardRecord:
-    """A shard's jobs; changed by `apply` alone, which keeps the indexes too."""
+    """A shard's jobs and the indexes on them; only `apply` changes them.
+
+    `number` is the number of the last log entry applied.
+    """
 
     job_by_id: dict[JobId, JobRecord] = field(default_factory=dict)
     number: int = 0
     task_by_attempt: dict[AttemptId, TaskRecord] = field(default_factory=dict)
-    """Every attempt that may be running."""
+    """The task of every attempt that may be running."""
     _pending_by_job: dict[JobId, dict[int, TaskRecord]] = field(default_factory=dict)
     _assigned_by_job: Counter[JobId] = field(default_factory=Counter)
 
     def __post_init__(self) -> None:
-        """Index the jobs given."""
+        """Build the indexes from the given jobs."""
         for job_id, job in self.job_by_id.items():
             self._index(job_id, job)
 
     def apply(self, event: AnyEvent) -> None:
-        """Fold one committed event into the state."""
+        """Apply one committed event to the state."""
         if isinstance(event, JobAccepted):
             self._apply_accepted(event)
         elif isinstance(event, Assigned):
@@ -192,7 +199,7 @@
             self._apply_forgotten(event.job)
 
     def task(self, attempt: AttemptId) -> TaskRecord | None:
-        """Return the task of an attempt, where the record still has it."""
+        """Return the task of an attempt, or None if the record no longer has it."""
         job = self.job_by_id.get(job_of(attempt))
         index = int(attempt.split("/")[1])
         if job is None or index >= len(job.tasks):
@@ -200,27 +207,27 @@
         return job.tasks[index]
 
     def is_current(self, attempt: AttemptId) -> bool:
-        """Tell whether the attempt is its task's last and has not ended."""
+        """Return whether the attempt is its task's last one and has not ended."""
         return attempt in self.task_by_attempt
 
     def is_open(self, job: JobId) -> bool:
-        """Tell whether a task of the job is still to be run or to end."""
+        """Return whether any task of the job is pending or assigned."""
         return bool(self._pending_by_job.get(job)) or self._assigned_by_job[job] > 0
 
     def open_task_count(self) -> int:
-        """Return how many tasks are still to be run or to end."""
+        """Return how many tasks are pending or assigned."""
         return self.pending_count() + len(self.task_by_attempt)
 
     def pending_count(self) -> int:
-        """Return how many tasks are to be placed."""
+        """Return how many tasks are pending."""
         return sum(len(tasks) for tasks in self._pending_by_job.values())
 
     def pending(
         self,
     ) -> Iterator[tuple[JobRecord, Iterator[tuple[TaskId, TaskRecord]]]]:
-        """Return each job with the tasks to place: urgent first, then by deadline.
+        """Yield each job with its pending tasks: urgent jobs first, then by deadline.
 
-        Nothing may be applied while a job's tasks are gone through.
+        No event may be applied while a job's tasks are iterated over.
         """
         jobs = sorted(
             (self.job_by_id[job_id] for job_id in self._pending_by_job),
@@ -234,7 +241,7 @@
             yield task_id(job_id, index), task
 
     def assigned_resources(self, team: str) -> Resources:
-        """Return what a team's assigned tasks take."""
+        """Return the sum of the declared sizes of a team's assigned tasks."""
         total = Resources()
         for job_id, count in self._assigned_by_job.items():
             spec = self.job_by_id[job_id].spec
@@ -243,13 +250,13 @@
         return total
 
     def encode_snapshot(self) -> bytes:
-        """Return the whole state as bytes."""
+        """Return the whole state encoded as a snapshot."""
         jobs = list(self.job_by_id.values())
         return msgspec.msgpack.encode(Snapshot(self.number, jobs))
 
     def _apply_accepted(self, event: JobAccepted) -> None:
-        # The same job sent twice at once is accepted twice in the log; a second
-        # record would forget the attempts of the first, which may be running.
+        # A job submitted twice at the same time is accepted twice in the log. A second
+        # record would replace the first and lose its attempts, which may be running.
         if event.spec.id in self.job_by_id:
             return
         tasks = [TaskRecord() for _ in range(event.spec.tasks)]
@@ -261,7 +268,8 @@
         task = self.task(event.attempt)
         job_id = job_of(event.attempt)
         index = int(event.attempt.split("/")[1])
-        # Cancelled between the reservation and the commit: nothing starts.
+        # The job was cancelled between the reservation and the commit, so nothing
+        # starts.
         if task is None or task.state is not TaskState.PENDING:
             return
         task.state = TaskState.ASSIGNED
@@ -306,7 +314,8 @@
         self, job_id: JobId, reason: str, at: float, *, stopped: bool
     ) -> None:
         job = self.job_by_id.get(job_id)
-        # Orders cross: what has ended, or is being stopped already, stays so.
+        # Cancellations and stops may race: the first one wins, and a job that has
+        # ended stays as it is.
         if job is None or job.cancelled or job.stopped or not self.is_open(job_id):
             return
         job.cancelled = not stopped
@@ -338,13 +347,13 @@
 
 
 def decode_snapshot(snapshot: bytes) -> ShardRecord:
-    """Return the state that `snapshot` holds."""
+    """Return the record encoded in `snapshot`."""
     stored = msgspec.msgpack.decode(snapshot, type=Snapshot)
     return ShardRecord({job.spec.id: job for job in stored.jobs}, stored.number)
 
 
 def encode_events(events: list[AnyEvent]) -> bytes:
-    """Return one log entry."""
+    """Return the log entry that holds `events`."""
     return msgspec.msgpack.encode(events)
 
 
--- a/wagtailcleat/batch/shard.py
+++ b/wagtailcleat/batch/shard.py
@@ -1,4 +1,4 @@
-"""What the parts of a shard's owner share."""
+"""The state and helpers that the parts of a shard's owner share."""
 
 import asyncio
 import random
@@ -27,7 +27,11 @@
 
 @dataclass
 class Shard:
-    """One shard as its owner holds it."""
+    """One shard, as its owner sees it.
+
+    `wake` makes the owner's loop run before its next interval;
+    `grant_bound_by_attempt` holds when each grant has lapsed at the latest.
+    """
 
     id: ShardId
     shard_count: int
@@ -40,7 +44,7 @@
     timing: Timing
     random: random.Random
     may_grant_until: Callable[[], float]
-    """Until when this process may hand out grants, on its clock."""
+    """Returns until when this process may issue grants, on its clock."""
     usage_estimates: UsageEstimates = field(default_factory=UsageEstimates)
     penalties: Penalties = field(default_factory=Penalties)
     grant_bound_by_attempt: dict[AttemptId, float] = field(default_factory=dict)
@@ -49,15 +53,18 @@
 
     @property
     def record(self) -> ShardRecord:
-        """What is committed."""
+        """The committed state."""
         return self.journal.record
 
     def grant_bound_from(self, now: float) -> float:
-        """Return when a grant answered by `now` has surely lapsed at its agent."""
+        """Return when a grant issued up to `now` has lapsed at the latest."""
         return now + self.timing.grant * GRANT_MARGIN_FACTOR
 
     async def commit_all(self, events: list[AnyEvent]) -> bool:
-        """Commit events that don't depend on one another; tell whether all are."""
+        """Commit independent events; return whether all were committed.
+
+        They are split into several commits, of which some may fail.
+        """
         slices = [
             events[start : start + MAX_EVENTS_PER_COMMIT]
             for start in range(0, len(events), MAX_EVENTS_PER_COMMIT)
@@ -67,14 +74,14 @@
         return all(outcome is CommitOutcome.COMMITTED for outcome in outcomes)
 
     def run_in_background(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[None]:
-        """Run `work` in a task of its own."""
+        """Run `work` in its own asyncio task; log its exceptions."""
         task = asyncio.create_task(_log_exceptions(work))
         self._background.add(task)
         task.add_done_callback(self._background.discard)
         return task
 
     def stop_background(self) -> None:
-        """Cancel what runs in the background."""
+        """Cancel the background tasks."""
         for task in self._background:
             task.cancel()
 
@@ -83,4 +90,4 @@
     try:
         await work
     except Exception:
-        log.exception("Work in the background crashed")
+        log.exception("A background task failed with an exception")
--- a/wagtailcleat/batch/submissions.py
+++ b/wagtailcleat/batch/submissions.py
@@ -1,4 +1,7 @@
-"""Callers' orders on a shard's jobs: submit, show, list, cancel."""
+"""Callers' requests on a shard's jobs: submit, show, list and cancel.
+
+The shard's owner passes them on from the entries.
+"""
 
 from msgspec.structs import replace
 
@@ -29,21 +32,25 @@
 
 
 class Submissions:
-    """Answers callers from what is committed, and commits their orders."""
+    """Answers callers from the committed state and commits their requests."""
 
     def __init__(self, shard: Shard) -> None:
-        """Serve the jobs of `shard`."""
+        """Serve requests on the jobs of `shard`."""
         self._shard = shard
 
     async def submit(self, message: SubmitJob) -> AnyMessage:
-        """Accept a job once it is in the store; the same job twice is one job."""
+        """Accept a job and return its account once the store has it.
+
+        Submitting the same job again returns its account. Return `Behind` if the
+        configuration here is older than the sender's, or `Refused` with the reason.
+        """
         shard, sent = self._shard, message.spec
         existing = shard.record.job_by_id.get(sent.id)
         if existing is not None:
             return self._answer_existing(existing, sent)
         if shard.in_force.revision < message.revision:
-            # A change that the asker has may not have come here yet: a team that was
-            # just added would be refused as unknown.
+            # A configuration that the sender has may not have reached this process
+            # yet, and a team that was just added would be refused as unknown.
             return Behind()
         now = shard.wall_clock()
         spec = sent
@@ -70,7 +77,7 @@
         )
 
     async def show(self, message: ShowJob) -> AnyMessage:
-        """Return a job's account."""
+        """Return a job's account, or `Refused` if there is no such job."""
         job = self._shard.record.job_by_id.get(message.id)
         if job is None:
             return Refused(Code.NOT_FOUND.value, "there is no such job")
@@ -83,7 +90,10 @@
         return JobAccounts([self._account(job).text for job in of_team])
 
     async def cancel(self, message: CancelJob) -> AnyMessage:
-        """Cancel a job; running tasks are stopped as their agents hear of it."""
+        """Cancel a job and return its account.
+
+        Running tasks are stopped when their agents renew the grants.
+        """
         shard = self._shard
         job = shard.record.job_by_id.get(message.id)
         if job is None:
--- a/wagtailcleat/batch/takeover.py
+++ b/wagtailcleat/batch/takeover.py
@@ -1,4 +1,7 @@
-"""A new owner's first work: settle earlier owners, ask agents what they run."""
+"""Takeover of a shard: settle earlier owners, and ask agents what they run.
+
+It runs beside the new owner's own loop until both are done.
+"""
 
 import asyncio
 
@@ -20,15 +23,19 @@
 
 
 class Takeover:
-    """Runs until each earlier owner and each agent with attempts is settled."""
+    """Settles the earlier owners and adopts the attempts that agents already have.
+
+    It ends when no earlier owner can issue grants any more and each agent with
+    attempts of the shard has answered.
+    """
 
     def __init__(
         self, shard: Shard, grants: GrantManager, earlier: list[Holder]
     ) -> None:
-        """Take over the attempts in the record.
+        """Set the grant bounds of the attempts in the record.
 
-        Until an agent has answered, its attempts count as running: for one grant,
-        and for the bound on outage grants too while an earlier owner is unsettled.
+        Until its agent has answered, an attempt counts as running for the time of one
+        grant, plus `outage_grant` while an earlier owner is unsettled.
         """
         self._shard = shard
         self._grant_manager = grants
@@ -43,14 +50,14 @@
             self._attempts_by_node.setdefault(task.node, []).append(attempt)
 
     def dump(self) -> dict[str, object]:
-        """Return what is not settled yet, for the state dump."""
+        """Return the unsettled owners and agents for the state dump."""
         return {
             "owners": [holder.node for holder in self._unsettled],
             "agents": sorted(self._attempts_by_node),
         }
 
     async def run(self) -> None:
-        """Ask again each round those that did not answer."""
+        """Ask owners and agents each round until all are settled, or until deposed."""
         while not self._shard.journal.deposed.is_set():
             await asyncio.gather(self._settle_owners(), self._adopt_all())
             if self._cleared and not self._attempts_by_node:
@@ -58,8 +65,6 @@
             pause = ROUND_INTERVAL_SECONDS * self._shard.random.uniform(0.7, 1.3)
             await asyncio.sleep(pause)
 
-    # ---- earlier owners
-
     async def _settle_owners(self) -> None:
         if self._unsettled:
             await self._step_down_all()
@@ -83,7 +88,8 @@
             self._shorten_bounds()
 
     def _shorten_bounds(self) -> None:
-        # No earlier owner grants any more, so its last grants end a grant from now.
+        # No earlier owner issues grants any more, so the last ones lapse within one
+        # grant from now.
         shard = self._shard
         until = shard.grant_bound_from(shard.clock())
         for attempts in self._attempts_by_node.values():
@@ -91,8 +97,6 @@
                 bound = shard.grant_bound_by_attempt.get(attempt, until)
                 shard.grant_bound_by_attempt[attempt] = min(bound, until)
 
-    # ---- agents
-
     async def _adopt_all(self) -> None:
         current = self._shard.record.task_by_attempt
         for node, attempts in list(self._attempts_by_node.items()):
--- a/wagtailcleat/batch/usage_estimates.py
+++ b/wagtailcleat/batch/usage_estimates.py
@@ -1,8 +1,9 @@
-"""What tasks of a job class really take: learned from lagged usage, and forgotten.
+"""Estimates of what tasks of a job class use, from the usage of earlier tasks.
 
-Declared sizes and run times are off by several times either way. What is reserved
-is the larger of what was declared and a high percentile of what earlier tasks of
-the class took, so that a VM's commitments cover what really runs on it.
+Declared sizes and run times are wrong by several times in either direction. The
+placer reserves the larger of the declared size and a high percentile of what earlier
+tasks of the class used, so that a VM's reservations cover what really runs on it.
+Usage is reported with a lag.
 """
 
 from collections import deque
@@ -15,16 +16,16 @@
 PERCENTILE = 0.9
 MIN_SAMPLES = 3
 MAX_SAMPLES = 50
-"""A class is judged by its last tasks alone: so it forgets."""
+"""Only the latest tasks of a class count, so that old usage is forgotten."""
 MAX_SIZE_FACTOR = 5.0
-"""What is learned never exceeds the declared size so many times: a task that takes
-all it is given would otherwise grow from one attempt to the next."""
+"""Limit of an estimate as a multiple of the declared size. Without it, the estimate
+for a task that uses all it is given would grow with each attempt."""
 MAX_CLASSES = 2_000
 
 
 @dataclass(frozen=True)
 class Sample:
-    """What one ended attempt took at its peak, and how long it ran."""
+    """The peak usage of one ended attempt, and how long it ran."""
 
     used: Resources
     run_seconds: float
@@ -39,7 +40,7 @@
     )
 
     def add(self, team: TeamName, job_class: str, sample: Sample) -> None:
-        """Take in what an attempt took; the class least lately seen is dropped."""
+        """Add a sample; beyond `MAX_CLASSES`, drop the least recently used class."""
         key = (team, job_class)
         samples = self.samples_by_class.pop(key, None) or deque(maxlen=MAX_SAMPLES)
         samples.append(sample)
@@ -50,7 +51,10 @@
     def estimate_size(
         self, team: TeamName, job_class: str, declared: Resources
     ) -> Resources:
-        """Return what to reserve: the larger of declared and learned."""
+        """Return the larger of the declared size and the estimate, per resource.
+
+        Return the declared size while there are fewer than `MIN_SAMPLES` samples.
+        """
         samples = self.samples_by_class.get((team, job_class), ())
         if len(samples) < MIN_SAMPLES:
             return declared
@@ -70,7 +74,10 @@
     def estimate_run_seconds(
         self, team: TeamName, job_class: str, declared: float
     ) -> float:
-        """Return how long a task will likely run: declared until there are samples."""
+        """Return a high estimate of the run time in seconds.
+
+        Return the declared one while there are fewer than `MIN_SAMPLES` samples.
+        """
         samples = self.samples_by_class.get((team, job_class), ())
         if len(samples) < MIN_SAMPLES:
             return declared
