--- a/features/batch/large_shard.feature
+++ b/features/batch/large_shard.feature
@@ -1,9 +1,9 @@
-Feature: A shard's record outgrows one value of the store
+Feature: A shard's record is larger than one value in the store may be
 
   Scenario: A snapshot larger than the store's largest value
-    Jobs of many tasks with long checkpoints fill a shard until its snapshot is larger
-    than a value of the store may be. The store refuses the write each time, the log
-    grows for ever, and the next owner reads a shard that nobody can snapshot.
+    Guards against a log that grows without bound because the store refuses each
+    snapshot, so that the next owner also has a shard that it can't snapshot. Jobs of
+    many tasks with long checkpoints make the snapshot larger than a value may be.
     Given a shard with 2 jobs of 10000 tasks, each with a checkpoint of 100 bytes
     When its owner writes a snapshot
     Then the store holds it in 3 parts or more and no log entry
--- a/features/batch/store_outage.feature
+++ b/features/batch/store_outage.feature
@@ -1,9 +1,10 @@
 Feature: A store outage longer than every lease and grant
 
-  Scenario: Running tasks go on, new ones wait, and the store's return is calm
-    The store is down for several times the ownership lease and the grants. Running
-    tasks are stopped although their VMs are well, or a job is refused as not run and
-    runs later, or the returning processes put the store down again.
+  Scenario: Running tasks continue, pending ones wait, and the store is not overloaded afterwards
+    Guards against three failures when the store is down for several times the
+    ownership lease and the grants: running tasks are stopped on healthy VMs, a job
+    that was refused as not run runs later, or the load of all processes at the store's
+    return overloads it again.
     Given a batch deployment of VMs "vm-1=zilina-a=8 vm-2=zilina-b=8 vm-3=zilina-a=8"
     When job "ledger" of 6 tasks of "sleep:9" with 2 cores is submitted
     And job "waiting" of 12 tasks of "sleep:0.2" with 2 cores is submitted
@@ -20,9 +21,9 @@
     And no task ever ran in two places
 
   Scenario: The store hangs in the middle of commits
-    The store takes calls and answers none. Some tasks end and their ends are being
-    committed; the grants of all other tasks on those VMs are not renewed meanwhile,
-    because the owner answers an agent only after the commit, and they are evicted.
+    Guards against evictions while the store accepts calls but does not answer. Some
+    tasks end and their ends are being committed. If the owner answers an agent only
+    after that commit, the grants of the other tasks on its VM are not renewed.
     Given a batch deployment of VMs "vm-1=zilina-a=8 vm-2=zilina-b=8 vm-3=zilina-a=8"
     When job "ledger" of 6 tasks of "sleep:9" with 2 cores is submitted
     And job "short" of 6 tasks of "sleep:1.5" with 2 cores is submitted
--- a/features/steps/batch_closing_steps.py
+++ b/features/steps/batch_closing_steps.py
@@ -1,4 +1,4 @@
-"""Steps on a VM whose worker fails what it starts, on virtual time."""
+"""Steps on a VM whose worker fails tasks, on virtual time."""
 
 import asyncio
 
@@ -14,12 +14,12 @@
 from wagtailcleat.wire.task_ids import attempt_id, task_id
 
 SHARD = 0
-WAVES = (3, 4)
-LOOK_SECONDS = 1.0
+TASKS_PER_ROUND = (3, 4)
+ENDS_SEEN_TIMEOUT_SECONDS = 1.0
 
 
-def holding(held):
-    """Return the change that lists VMs which hold so much."""
+def set_vm_sizes(held):
+    """Return the configuration change that sets the size of all VMs to `held`."""
 
     def change(current):
         inventory = configured(current).inventory
@@ -37,7 +37,7 @@
     deployment = AgentsDeployment(zones, held, TIMING, 2)
     context.add_cleanup(deployment.close)
     store = deployment.agent_by_vm[vm].node.store
-    change = holding(held)
+    change = set_vm_sizes(held)
     done = deployment.loop.run(write(store, None, "change-1", change))
     deployment.adopt(done.configuration)
     deployment.pass_time(2.0)
@@ -45,8 +45,8 @@
     context.tasks = 0
 
 
-async def order(context, job, command):
-    """Reserve and start one task at the VM as an owner would; tell if it was taken."""
+async def start_task(context, job, command):
+    """Reserve and start a task at the VM like an owner; return if it was accepted."""
     deployment = context.deployment
     peers = deployment.agent_by_vm[context.other].node.peers
     me = deployment.agent_by_vm[context.vm].node.view.me
@@ -61,35 +61,35 @@
     return True
 
 
-def order_wave(context, job, command, count):
-    async def wave():
+def start_tasks(context, job, command, count):
+    async def start_all():
         return await asyncio.gather(
-            *(order(context, job, command) for _ in range(count))
+            *(start_task(context, job, command) for _ in range(count))
         )
 
-    return context.deployment.loop.run(wave())
+    return context.deployment.loop.run(start_all())
 
 
-def until_seen(context):
-    """Let time pass until the agent has seen the end of all that ended."""
+def wait_until_ends_seen(context):
+    """Let time pass until the agent has noticed the end of each task that ended."""
     attempts = context.deployment.agent_by_vm[context.vm].attempts
     worker = context.deployment.worker_by_vm[context.vm]
-    give_up_at = context.deployment.loop.time() + LOOK_SECONDS
+    timeout_at = context.deployment.loop.time() + ENDS_SEEN_TIMEOUT_SECONDS
     while len(attempts.running()) > len(worker.running()):
-        assert context.deployment.loop.time() < give_up_at, attempts.dump()
+        assert context.deployment.loop.time() < timeout_at, attempts.dump()
         context.deployment.pass_time(STEP_SECONDS)
 
 
 @when(
-    'the worker of "{vm}" fails all it starts, and {jobs:d} jobs order tasks there,'
-    " the next ones when the first have failed"
+    'the worker of "{vm}" fails all tasks, and {jobs:d} jobs start tasks there'
+    " in two rounds, the second once the first has failed"
 )
-def step_waves(context, vm, jobs):
+def step_rounds(context, vm, jobs):
     context.deployment.worker_by_vm[vm].switches.update({"fail_everything": True})
     for job in range(jobs):
-        for count in WAVES:
-            order_wave(context, f"job-{job}", "hold", count)
-            until_seen(context)
+        for count in TASKS_PER_ROUND:
+            start_tasks(context, f"job-{job}", "hold", count)
+            wait_until_ends_seen(context)
 
 
 @then('the worker of "{vm}" was asked to start {count:d} tasks at most')
@@ -101,14 +101,14 @@
 
 @when('{count:d} tasks of job "{job}" run at "{vm}" and one more fails')
 def step_one_fails(context, count, job, vm):
-    assert all(order_wave(context, job, "hold", count))
-    assert all(order_wave(context, job, "fail", 1))
-    until_seen(context)
+    assert all(start_tasks(context, job, "hold", count))
+    assert all(start_tasks(context, job, "fail", 1))
+    wait_until_ends_seen(context)
 
 
 @then('"{vm}" takes another task of job "{job}" within {seconds:d} s')
 def step_taken(context, vm, job, seconds):
-    give_up_at = context.deployment.loop.time() + seconds
-    while not all(order_wave(context, job, "hold", 1)):
-        assert context.deployment.loop.time() < give_up_at
+    timeout_at = context.deployment.loop.time() + seconds
+    while not all(start_tasks(context, job, "hold", 1)):
+        assert context.deployment.loop.time() < timeout_at
         context.deployment.pass_time(STEP_SECONDS)
--- a/features/steps/batch_failures_steps.py
+++ b/features/steps/batch_failures_steps.py
@@ -1,4 +1,4 @@
-"""Steps on failures that several agents report in one moment, on virtual time."""
+"""Steps on failures that agents report at the same time, on virtual time."""
 
 import asyncio
 
@@ -17,7 +17,7 @@
 DEADLINE = 2_000_000_000.0
 
 
-@given("a job whose {count:d} tasks run on 3 VMs, as many on each")
+@given("a job whose {count:d} tasks run on 3 VMs, evenly spread")
 def step_job(context, count):
     deployment = AgentsDeployment({"vm-1": "zilina-a"}, HELD, TIMING, SHARDS)
     context.add_cleanup(deployment.close)
@@ -38,12 +38,12 @@
 
 
 def failed(vm, attempts, epoch):
-    """Return what an agent tells of its attempts when all have failed."""
+    """Return an agent's report that all of its attempts have failed."""
     reports = [AttemptReport(a, SHARD, AttemptState.FAILED) for a in attempts]
     return RenewGrants(vm, f"agent-{vm}", 1, SHARD, epoch, reports, HELD)
 
 
-@when("the agents of all 3 VMs report in one moment that these have failed")
+@when("the agents of all 3 VMs report at the same time that these have failed")
 def step_reported(context):
     epoch = context.owner.journal.epoch
 
--- a/features/steps/batch_fuzz_steps.py
+++ b/features/steps/batch_fuzz_steps.py
@@ -1,4 +1,4 @@
-"""A state machine over the batch path, with the workers' records as the oracle."""
+"""Stateful fuzz test of batch scheduling, checked against the workers' records."""
 
 from batch_oracle import overlapping, peak_of, runs_of
 from batch_world import (
@@ -30,15 +30,15 @@
 from wagtailcleat.wire.jobs import CancelJob, JobAccount, JobSpec, SubmitJob, TaskSpec
 from wagtailcleat.wire.results import Refused
 
-QUIET_SECONDS = 120.0
+SETTLE_TIMEOUT_SECONDS = 120.0
 SETTLE_ROUND_SECONDS = 3.0
 STEP_SECONDS = 0.3
-ZONE_BOUND_SECONDS = 1.0
+ZONE_OUT_BOUND_SECONDS = 1.0
 LONG_DEADLINE_SECONDS = 100_000.0
 
 
 class BatchHistories(RuleBasedStateMachine):
-    """Callers, operators and faults; the oracle is what the workers recorded."""
+    """Random callers, operators and faults; the workers' records are the oracle."""
 
     checked = 0
     tasks_run = 0
@@ -76,8 +76,6 @@
     def _now(self):
         return self.deployment.loop.time()
 
-    # ---- callers
-
     @rule(
         name=st.integers(0, 9),
         tasks=st.integers(1, 4),
@@ -85,7 +83,7 @@
         vm=st.sampled_from(VMS),
     )
     def submit(self, name, tasks, seconds, vm):
-        """Submit a job, perhaps one that is there already."""
+        """Submit a job, which may have been submitted before."""
         if vm not in self.deployment.agent_by_vm:
             return
         shard = find_shard(TEAM, f"job-{name}", SHARDS)
@@ -113,8 +111,6 @@
             self.cancelled.add(job)
             self.deployment.order(vm, shard, CancelJob(job, shard))
 
-    # ---- faults
-
     @precondition(lambda self: len(self._live()) > 1)
     @rule(data=st.data(), vm_too=st.booleans())
     def kill(self, data, vm_too):
@@ -136,19 +132,19 @@
     @precondition(lambda self: len(self._live()) < len(VMS))
     @rule()
     def start(self):
-        """Start what was killed."""
+        """Start the agents that were killed."""
         for vm in VMS:
             if vm not in self.deployment.agent_by_vm:
                 self.deployment.start(vm)
 
     @rule(vm=st.sampled_from(VMS))
     def cut(self, vm):
-        """Cut an agent off from the others."""
+        """Partition an agent from the others."""
         self.deployment.cut(vm)
 
     @rule()
     def heal(self):
-        """End all cuts."""
+        """Heal all partitions."""
         self.deployment.cut_off.clear()
 
     @rule(down=st.booleans())
@@ -162,8 +158,6 @@
         self.deployment.lost_answers = count
         self.deployment.lost_worker_answers = count if workers_too else 0
 
-    # ---- operators
-
     @rule(out=st.booleans())
     def zone(self, out):
         """Take a zone out or bring it back."""
@@ -173,7 +167,8 @@
         if out and accepted and self.out_since is None:
             self.out_since = self._now()
         elif not out and self.out_since is not None:
-            # Where the answer is unknown it may be in again: not checked on.
+            # If the change is in doubt, the zone may be back in use, so starts from
+            # then on are not checked.
             self.out_spans.append((self.out_since, asked_at))
             self.out_since = None
 
@@ -183,14 +178,12 @@
         self.deployment.pass_time(seconds)
 
     @invariant()
-    def go_on(self):
+    def pass_time_after_step(self):
         """Let a little time pass after each step."""
         self.deployment.pass_time(STEP_SECONDS)
 
-    # ---- the oracle
-
     def teardown(self):
-        """End all faults, let everything settle, then check."""
+        """End all faults, wait until all tasks have ended, and check the records."""
         if not hasattr(self, "deployment"):
             return
         try:
@@ -206,18 +199,18 @@
         deployment.cut_off.clear()
         self.zone(False)
         self.start()
-        until = self._now() + QUIET_SECONDS
-        while self._now() < until and self._missing():
+        until = self._now() + SETTLE_TIMEOUT_SECONDS
+        while self._now() < until and self._unfinished():
             deployment.pass_time(SETTLE_ROUND_SECONDS)
         deployment.pass_time(SETTLE_ROUND_SECONDS)
 
-    def _found(self):
+    def _runs(self):
         workers = self.deployment.worker_by_vm.items()
         return runs_of({vm: list(worker.record.rows) for vm, worker in workers})
 
-    def _missing(self):
-        """Return the accepted tasks that have not ended well."""
-        ended = {run.task for run in self._found() if run.state == "succeeded"}
+    def _unfinished(self):
+        """Return the accepted tasks that have not succeeded."""
+        ended = {run.task for run in self._runs() if run.state == "succeeded"}
         wanted = {
             f"{job}~{index}"
             for job, (tasks, _) in self.accepted.items()
@@ -227,12 +220,12 @@
         return wanted - ended
 
     def _check(self):
-        found = self._found()
+        found = self._runs()
         assert not overlapping(found), overlapping(found)
         for vm in VMS:
             assert peak_of(found, vm) <= TASKS_A_VM, (vm, peak_of(found, vm))
         self._check_zone(found)
-        assert not self._missing(), self._missing()
+        assert not self._unfinished(), self._unfinished()
         jobs_run = {run.task.rpartition("~")[0] for run in found}
         assert not jobs_run & self.refused, jobs_run & self.refused
         BatchHistories.checked += 1
@@ -244,7 +237,7 @@
                 run
                 for run in found
                 if ZONE_BY_VM[run.vm] == "zilina-a"
-                and since + ZONE_BOUND_SECONDS < run.start < until
+                and since + ZONE_OUT_BOUND_SECONDS < run.start < until
             ]
             assert not late, (since, until, late)
 
@@ -260,7 +253,7 @@
 
 @then("in each of them no task ran twice at once and no VM ran more than it holds")
 @then("in each of them no task started in a zone 1 s after it went out")
-@then("in each of them every accepted task ended well, and no refused one ran")
+@then("in each of them every accepted task succeeded and no refused job ran")
 def step_held(context):
     assert BatchHistories.checked >= context.count, BatchHistories.checked
     assert BatchHistories.tasks_run > context.count, BatchHistories.tasks_run
--- a/features/steps/batch_large_steps.py
+++ b/features/steps/batch_large_steps.py
@@ -1,4 +1,4 @@
-"""Steps on a shard whose record is larger than one value of the store."""
+"""Steps on a shard whose record is larger than a value in the store may be."""
 
 from batch_world import HELD, SHARDS, TASK, TEAM, TIMING, configured
 from behave import given, then, when
--- a/features/steps/batch_late_order_steps.py
+++ b/features/steps/batch_late_order_steps.py
@@ -1,4 +1,4 @@
-"""Steps on orders that arrive after their time, on virtual time."""
+"""Steps on start orders that arrive late, on virtual time."""
 
 from batch_restart_steps import EPOCH
 from batch_world import TASK, TIMING
@@ -14,24 +14,24 @@
 
 
 @when(
-    '"{vm}" holds room for attempt "{attempt}" and its start order comes'
+    '"{vm}" reserves room for attempt "{attempt}" and its start order arrives'
     " after {seconds:d} second"
 )
 def step_late(context, vm, attempt, seconds):
-    context.vm, context.late = vm, attempt
+    context.vm, context.late_attempt = vm, attempt
     reserve = Reserve(attempt, 0, EPOCH, TASK, "")
     reserved = send(context, reserve)
     assert isinstance(reserved, Reserved), reserved
     context.deployment.pass_time(seconds)
-    context.answer = send(context, start(context))
+    context.answer = send(context, start_order(context))
 
 
-def start(context):
-    return Start(context.late, 0, EPOCH, "hold", TIMING.grant)
+def start_order(context):
+    return Start(context.late_attempt, 0, EPOCH, "hold", TIMING.grant)
 
 
 def send(context, order):
-    """Send an order to the VM's agent as its owner would; return the answer."""
+    """Send an order to the VM's agent like an owner; return the answer."""
     deployment = context.deployment
     other = next(vm for vm in deployment.agent_by_vm if vm != context.vm)
     peers = deployment.agent_by_vm[other].node.peers
@@ -46,7 +46,7 @@
 
 @then("the same order sent once more is answered the same way")
 def step_again(context):
-    check(context, send(context, start(context)))
+    check(context, send(context, start_order(context)))
 
 
 def check(context, answer):
--- a/features/steps/batch_oracle.py
+++ b/features/steps/batch_oracle.py
@@ -1,4 +1,4 @@
-"""What the workers' records tell about tasks; the oracle of the batch tests."""
+"""Oracle of the batch tests: task runs as the workers recorded them."""
 
 from dataclasses import dataclass
 from math import inf
@@ -17,7 +17,7 @@
 
 
 def runs_of(rows_by_vm):
-    """Return every run in the workers' records, by start."""
+    """Return every run in the workers' records, ordered by start."""
     found = []
     for vm, rows in rows_by_vm.items():
         started_at = {}
@@ -32,7 +32,7 @@
 
 
 def overlapping(found):
-    """Return each pair of runs in which one task runs twice at one time."""
+    """Return each pair of runs of one task that overlap in time."""
     return [
         (one, two)
         for by_start in _by_task(found).values()
@@ -55,23 +55,23 @@
 
 
 def runs(cluster):
-    """Return every run on every VM of a cluster, by start."""
+    """Return every run on every VM of a cluster, ordered by start."""
     return runs_of({vm: cluster.starts_and_ends(vm) for vm in cluster.vm_by_name})
 
 
 def runs_by_task(cluster):
-    """Return the runs of each task, by start."""
+    """Return the runs of each task, ordered by start."""
     return _by_task(runs(cluster))
 
 
 def running(cluster, vm=None):
-    """Return what runs now."""
+    """Return the runs that have not ended, on one VM or on all."""
     now = [run for run in runs(cluster) if run.end == inf]
     return [run for run in now if vm in (None, run.vm)]
 
 
 def overlaps(cluster):
-    """Return each pair of runs in which one task of a cluster runs twice at once."""
+    """Return each pair of runs of one task in a cluster that overlap in time."""
     return overlapping(runs(cluster))
 
 
--- a/features/steps/batch_record_steps.py
+++ b/features/steps/batch_record_steps.py
@@ -1,4 +1,4 @@
-"""Steps on a shard's record alone, without processes."""
+"""Steps on a shard's record, without processes."""
 
 import json
 
--- a/features/steps/batch_restart_steps.py
+++ b/features/steps/batch_restart_steps.py
@@ -1,4 +1,4 @@
-"""Steps on an agent's first moments, on virtual time."""
+"""Steps on agents and owners with incomplete state, on virtual time."""
 
 from batch_world import HELD, SHARDS, TASK, TIMING, ZONE_BY_VM, configured
 from behave import given, then, when
@@ -13,7 +13,7 @@
 
 LEASE_SECONDS = 30.0
 EPOCH = 1
-LISTING_SECONDS = 1.0
+LISTING_TIMEOUT_SECONDS = 1.0
 STEP_SECONDS = 0.02
 
 
@@ -34,7 +34,7 @@
     context.deployment, context.other, context.attempt = deployment, other, attempt
 
 
-def repeat(context, vm):
+def send_start_order(context, vm):
     """Send the start order from the other VM; return the answer."""
     deployment = context.deployment
     peers = deployment.agent_by_vm[context.other].node.peers
@@ -48,7 +48,7 @@
     context.deployment.kill(vm)
     context.deployment.start(vm)
     context.vm = vm
-    context.answer = repeat(context, vm)
+    context.answer = send_start_order(context, vm)
 
 
 @then("the answer does not say that the attempt never started")
@@ -56,17 +56,17 @@
     assert not isinstance(context.answer, AttemptReport), context.answer
 
 
-@then("as soon as it has listed what runs, the agent answers that it runs")
+@then("once it has listed its running tasks, the agent answers that the attempt runs")
 def step_runs_there(context):
     attempts = context.deployment.agent_by_vm[context.vm].attempts
-    give_up_at = context.deployment.loop.time() + LISTING_SECONDS
-    while not attempts.ready and context.deployment.loop.time() < give_up_at:
+    timeout_at = context.deployment.loop.time() + LISTING_TIMEOUT_SECONDS
+    while not attempts.ready and context.deployment.loop.time() < timeout_at:
         context.deployment.pass_time(STEP_SECONDS)
-    answer = repeat(context, context.vm)
+    answer = send_start_order(context, context.vm)
     assert isinstance(answer, Done), answer
 
 
-@when("an asker that has the next revision submits a job of a team that it adds")
+@when("a sender with the next revision submits a job of a team added in it")
 def step_submit_ahead(context):
     agents = context.deployment.agent_by_vm.values()
     context.owners = [o for a in agents for o in a.ownership.owner_by_shard.values()]
@@ -79,6 +79,6 @@
     context.answer = context.deployment.loop.run(owner.order(SubmitJob(spec, ahead)))
 
 
-@then("the owner asks it to come again, and does not say that there is no such team")
+@then("the owner answers that it is behind and not that there is no such team")
 def step_asked_again(context):
     assert isinstance(context.answer, Behind), context.answer
--- a/features/steps/batch_steps.py
+++ b/features/steps/batch_steps.py
@@ -1,4 +1,4 @@
-"""Steps on batch work over a deployment of real processes."""
+"""Steps on batch jobs in a deployment of real processes."""
 
 import time
 from concurrent.futures import ThreadPoolExecutor
@@ -13,7 +13,7 @@
 from wagtailcleat.configuration.models import Team
 
 TEAM = "travel-desk"
-LANES = 4
+TEAM_SHARDS = 4
 TIMING = {
     "reservation": 0.5,
     "grant": 2.0,
@@ -25,13 +25,13 @@
     "drain": 5.0,
 }
 AGENT_SETTINGS = {"shards": 4}
-PATIENCE_SECONDS = 40
-WORKER_CORES_SHARE = 4
+WAIT_SECONDS = 40
+WORKER_CORES_FACTOR = 4
 CHECKPOINT_ROUNDING_SECONDS = 0.1
 
 
 def team():
-    return {"name": TEAM, "cores": 200, "memory_mb": 800_000, "shards": LANES}
+    return {"name": TEAM, "cores": 200, "memory_mb": 800_000, "shards": TEAM_SHARDS}
 
 
 def job_body(name, tasks, command, cores, **more):
@@ -46,9 +46,9 @@
 
 
 def submit(context, body):
-    """Submit until the job is known; return the last answer."""
+    """Submit until the job is accepted; return the last answer."""
 
-    def known():
+    def accepted():
         try:
             answer = http("POST", jobs_url(context), body)
         except HttpError:
@@ -58,7 +58,7 @@
         print(answer)
         return None
 
-    return wait_or_show(context, known, f"job {body['id']} is accepted")
+    return wait_or_show(context, accepted, f"job {body['id']} is accepted")
 
 
 def account(context, name):
@@ -71,18 +71,20 @@
 
 def ended(context, name):
     def check():
-        seen = account(context, name)
+        found_account = account(context, name)
         return (
-            seen if seen.get("state") in ("finished", "failed", "cancelled") else None
+            found_account
+            if found_account.get("state") in ("finished", "failed", "cancelled")
+            else None
         )
 
     return wait_or_show(context, check, f"job {name} ends")
 
 
 def wait_or_show(context, condition, what):
-    """Wait; where it fails, show each agent's state first."""
+    """Wait for the condition; print each agent's state if it does not hold in time."""
     try:
-        return wait_for(condition, PATIENCE_SECONDS, what)
+        return wait_for(condition, WAIT_SECONDS, what)
     except AssertionError:
         for process in context.cluster.agent_by_vm.values():
             print(process.name, state(process))
@@ -100,20 +102,17 @@
 def owner_vm(context, name):
     """Return the VM whose agent owns the job's shard."""
     shard = str(shard_of(name))
-    frozen = {process.name for process in context.frozen}
+    paused = {process.name for process in context.paused}
 
     def find():
         for vm, agent in context.cluster.agent_by_vm.items():
-            if agent.name in frozen or not agent.alive:
+            if agent.name in paused or not agent.alive:
                 continue
             if shard in state(agent)["shards"]:
                 return vm
         return None
 
-    return wait_for(find, PATIENCE_SECONDS, f"shard {shard} has an owner")
-
-
-# ---- the deployment
+    return wait_for(find, WAIT_SECONDS, f"shard {shard} has an owner")
 
 
 @given('a batch deployment of VMs "{vms}"')
@@ -131,11 +130,11 @@
     for number, text in enumerate(vms.split()):
         name, zone, cores = text.split("=")
         rack = f"rack-{number}"
-        # The worker would hold more than the inventory says: it must not be the
-        # worker's refusal that keeps a VM within bounds.
-        worker_cores = int(cores) * WORKER_CORES_SHARE
+        # The worker accepts more than the inventory allows, so that its refusal can't
+        # be what keeps a VM within its capacity.
+        worker_cores = int(cores) * WORKER_CORES_FACTOR
         options.append(VmOptions(name, zone, rack, cores=worker_cores, services=()))
-    context.frozen = []
+    context.paused = []
     context.cluster = Cluster(
         options,
         services=(),
@@ -147,13 +146,13 @@
     context.add_cleanup(context.cluster.close)
     answer = context.cluster.apply(inventory(context), {"teams": [team()]})
     assert answer.status == 200, answer.body
-    wait_for(lambda: all_owned(context), PATIENCE_SECONDS, "all shards are owned")
+    wait_for(lambda: all_owned(context), WAIT_SECONDS, "all shards are owned")
 
 
 def inventory(context):
     listed = context.cluster.inventory()
     for vm in listed["vms"]:
-        vm["cores"] = vm["cores"] // WORKER_CORES_SHARE
+        vm["cores"] = vm["cores"] // WORKER_CORES_FACTOR
     return listed
 
 
@@ -174,36 +173,33 @@
         agent.kill()
 
 
-@then('"{vm}" owns all {count:d} shards in the end')
+@then('"{vm}" eventually owns all {count:d} shards')
 def step_owns_all(context, vm, count):
-    wait_for(lambda: owned(context)[vm] == count, PATIENCE_SECONDS, f"{vm} owns all")
+    wait_for(lambda: owned(context)[vm] == count, WAIT_SECONDS, f"{vm} owns all")
 
 
-@when("the killed agents are started again")
+@when("the killed agents are restarted")
 def step_start_again(context):
     for agent in context.killed:
         agent.start()
 
 
-@then("each shard is owned by the agent first for it, or by one with its share")
+@then("each shard is owned by the first-ranked agent or one within its fair share")
 def step_shared(context):
     agents = {a.name: vm for vm, a in context.cluster.agent_by_vm.items()}
     shards = AGENT_SETTINGS["shards"]
     firsts = [rank_nodes(shard, sorted(agents), 1)[0] for shard in range(shards)]
-    most = {
+    limit_by_vm = {
         vm: max(firsts.count(name), fair_share(shards, len(agents)))
         for name, vm in agents.items()
     }
 
     def shared():
         found = owned(context)
-        within = all(found[vm] <= most[vm] for vm in found)
+        within = all(found[vm] <= limit_by_vm[vm] for vm in found)
         return found if within and sum(found.values()) == shards else None
 
-    wait_for(shared, PATIENCE_SECONDS, f"nobody owns more than {most}")
-
-
-# ---- jobs
+    wait_for(shared, WAIT_SECONDS, f"nobody owns more than {limit_by_vm}")
 
 
 @given(
@@ -212,13 +208,13 @@
 )
 def step_runs_on(context, name, tasks, command, cores, vm, other, other_vm):
     submit(context, job_body(name, tasks, command, cores))
-    held = context.cluster.vm_by_name[vm].cores // WORKER_CORES_SHARE // cores
+    held = context.cluster.vm_by_name[vm].cores // WORKER_CORES_FACTOR // cores
     wanted = min(held, tasks - other) if tasks > other else 0
 
     def full():
         return len(running(context.cluster, vm)) >= wanted - 1
 
-    wait_for(full, PATIENCE_SECONDS, f"{vm} is full")
+    wait_for(full, WAIT_SECONDS, f"{vm} is full")
 
 
 @given(
@@ -226,9 +222,7 @@
 )
 def step_fills(context, name, tasks, command, cores):
     submit(context, job_body(name, tasks, command, cores))
-    wait_for(
-        lambda: len(running(context.cluster)) == tasks, PATIENCE_SECONDS, "all run"
-    )
+    wait_for(lambda: len(running(context.cluster)) == tasks, WAIT_SECONDS, "all run")
 
 
 @when(
@@ -236,7 +230,7 @@
 )
 @when(
     'job "{name}" of {tasks:d} tasks of "{command}" with {cores:d} cores'
-    " is submitted until known"
+    " is submitted until it is accepted"
 )
 def step_submit(context, name, tasks, command, cores):
     submit(context, job_body(name, tasks, command, cores))
@@ -289,31 +283,29 @@
 
 @when("{count:d} tasks run")
 def step_run(context, count):
-    wait_for(
-        lambda: len(running(context.cluster)) >= count, PATIENCE_SECONDS, "tasks run"
-    )
+    wait_for(lambda: len(running(context.cluster)) >= count, WAIT_SECONDS, "tasks run")
 
 
 @when("{count:d} tasks have each run for {seconds:d} second")
 def step_run_for(context, count, seconds):
-    def old():
+    def have_run_long_enough():
         ages = [boot_time() - run.start for run in running(context.cluster)]
         return len(ages) >= count and min(ages) >= seconds
 
-    wait_for(old, PATIENCE_SECONDS, f"{count} tasks run for {seconds} s")
+    wait_for(have_run_long_enough, WAIT_SECONDS, f"{count} tasks run for {seconds} s")
 
 
 @when("{count:d} tasks have run")
 def step_have_run(context, count):
     wait_for(
-        lambda: len(runs(context.cluster)) >= count, PATIENCE_SECONDS, "tasks have run"
+        lambda: len(runs(context.cluster)) >= count, WAIT_SECONDS, "tasks have run"
     )
 
 
 @then('job "{name}" ends with {count:d} tasks succeeded')
 def step_ends(context, name, count):
-    seen = ended(context, name)
-    assert seen["succeeded"] == count, seen
+    found_account = ended(context, name)
+    assert found_account["succeeded"] == count, found_account
 
 
 @then("all {jobs:d} jobs end with {count:d} tasks succeeded")
@@ -322,16 +314,13 @@
         step_ends(context, name, count)
 
 
-# ---- faults
-
-
-def freeze(context, process):
+def pause(context, process):
     process.freeze()
-    context.frozen.append(process)
+    context.paused.append(process)
 
 
-def bystander(context, name):
-    """Return a VM that runs tasks and whose agent owns no shard of the job."""
+def find_vm_of_non_owner(context, name):
+    """Return a VM that runs tasks and whose agent does not own the job's shard."""
     shard = str(shard_of(name))
 
     def find():
@@ -340,14 +329,16 @@
                 return vm
         return None
 
-    return wait_for(find, PATIENCE_SECONDS, "a VM runs tasks of another's shard")
+    return wait_for(
+        find, WAIT_SECONDS, "a VM whose agent does not own the shard runs tasks"
+    )
 
 
-@when('the owner of job "{name}" is frozen as soon as a task runs')
-def step_freeze_owner(context, name):
+@when('the owner of job "{name}" is paused as soon as a task runs')
+def step_pause_owner(context, name):
     vm = owner_vm(context, name)
-    wait_for(lambda: running(context.cluster), PATIENCE_SECONDS, "a task runs")
-    freeze(context, context.cluster.agent_by_vm[vm])
+    wait_for(lambda: running(context.cluster), WAIT_SECONDS, "a task runs")
+    pause(context, context.cluster.agent_by_vm[vm])
 
 
 @when('another agent owns the shard of job "{name}"')
@@ -355,26 +346,26 @@
     owner_vm(context, name)
 
 
-@when('an agent that runs tasks and owns no shard of job "{name}" is frozen')
-def step_freeze_bystander(context, name):
-    context.vm = bystander(context, name)
+@when('an agent that runs tasks and owns no shard of job "{name}" is paused')
+def step_pause_non_owner(context, name):
+    context.vm = find_vm_of_non_owner(context, name)
     context.tasks = {run.task for run in running(context.cluster, context.vm)}
-    freeze(context, context.cluster.agent_by_vm[context.vm])
+    pause(context, context.cluster.agent_by_vm[context.vm])
 
 
 @when('an agent that runs tasks and owns no shard of job "{name}" is told to stop')
-def step_stop_bystander(context, name):
-    context.vm = bystander(context, name)
+def step_stop_non_owner(context, name):
+    context.vm = find_vm_of_non_owner(context, name)
     agent = context.cluster.agent_by_vm[context.vm]
     context.stopping = ThreadPoolExecutor(1).submit(agent.terminate, 15)
 
 
-@when('the owner of job "{name}" is killed and started again')
+@when('the owner of job "{name}" is killed and restarted')
 def step_kill_owner(context, name):
     vm = owner_vm(context, name)
     wait_for(
         lambda: any(run.state == "stopped" for run in runs(context.cluster)),
-        PATIENCE_SECONDS,
+        WAIT_SECONDS,
         "a task is checkpointed",
     )
     agent = context.cluster.agent_by_vm[vm]
@@ -384,31 +375,31 @@
 
 
 @when(
-    'an agent that runs tasks and owns no shard of job "{name}" is killed and started'
+    'an agent that runs tasks and owns no shard of job "{name}" is killed and restarted'
 )
-def step_kill_bystander(context, name):
-    agent = context.cluster.agent_by_vm[bystander(context, name)]
+def step_kill_non_owner(context, name):
+    agent = context.cluster.agent_by_vm[find_vm_of_non_owner(context, name)]
     agent.kill()
     agent.start()
 
 
-@when('the agent on "{vm}" is frozen')
-def step_freeze(context, vm):
-    freeze(context, context.cluster.agent_by_vm[vm])
+@when('the agent on "{vm}" is paused')
+def step_pause(context, vm):
+    pause(context, context.cluster.agent_by_vm[vm])
 
 
-@when("what was frozen goes on")
-def step_thaw(context):
-    for process in context.frozen:
+@when("the paused agent resumes")
+def step_resume(context):
+    for process in context.paused:
         process.thaw()
-    context.frozen = []
+    context.paused = []
 
 
-@when("what was frozen goes on after {seconds:d} second")
-def step_thaw_later(context, seconds):
-    thaw_at = context.out_at + seconds
-    wait_for(lambda: boot_time() >= thaw_at, seconds + 1, "the pause")
-    step_thaw(context)
+@when("the paused agent resumes after {seconds:d} second")
+def step_resume_later(context, seconds):
+    resume_at = context.out_at + seconds
+    wait_for(lambda: boot_time() >= resume_at, seconds + 1, "the pause")
+    step_resume(context)
 
 
 @when('the store loses the next {count:d} answers to writes of "{part}"')
@@ -467,7 +458,7 @@
     def running_now():
         return sum(f".{name}~" in r.task for r in running(context.cluster)) == count
 
-    wait_for(running_now, PATIENCE_SECONDS, f"{count} tasks of {name} run")
+    wait_for(running_now, WAIT_SECONDS, f"{count} tasks of {name} run")
     step_down(context)
 
 
@@ -499,9 +490,6 @@
     context.back_at = boot_time()
 
 
-# ---- what must hold
-
-
 @then("no task ever ran in two places")
 def step_no_overlap(context):
     assert not overlaps(context.cluster), overlaps(context.cluster)
@@ -539,24 +527,24 @@
 
 
 @then("its tasks run on other VMs")
-def step_elsewhere(context):
+def step_run_on_other_vms(context):
     def moved():
         found = {r.task for r in runs(context.cluster) if r.vm != context.vm}
         return context.tasks <= found
 
-    wait_for(moved, PATIENCE_SECONDS, "the tasks run elsewhere")
+    wait_for(moved, WAIT_SECONDS, "the tasks run elsewhere")
 
 
 @then('each task of job "{name}" succeeded once')
-def step_once(context, name):
+def step_succeeded_once(context, name):
     for task, found in runs_by_task(context.cluster).items():
         if f".{name}~" in task:
             succeeded = [run for run in found if run.state == "succeeded"]
             assert len(succeeded) == 1, found
 
 
-@then('no stopped task of "{command}" ran longer than {seconds:d} seconds in all')
-def step_no_longer(context, command, seconds):
+@then('no stopped task of "{command}" ran longer than {seconds:d} seconds in total')
+def step_total_run_time(context, command, seconds):
     stopped = False
     for found in runs_by_task(context.cluster).values():
         if any(run.state == "lapsed" for run in found):
@@ -567,13 +555,16 @@
     assert stopped, "nothing was evicted"
 
 
-@then("no other task ended meanwhile")
+@then("no task on another VM failed or was stopped meanwhile")
 def step_none_ended(context):
     others = [r for r in runs(context.cluster) if r.vm != "vm-1"]
     assert all(run.state in ("running", "succeeded") for run in others), others
 
 
-@then('no task started in zone "{zone}" later than {seconds:d} second after that')
+@then(
+    'no task started in zone "{zone}" later than {seconds:d} second'
+    " after it was taken out"
+)
 def step_none_started(context, zone, seconds):
     vms = context.cluster.vm_by_name.values()
     inside = {vm.name for vm in vms if vm.zone == zone}
@@ -631,16 +622,13 @@
     "the store took at most {writes:d} writes and {reads:d} reads"
     " in any second after its return"
 )
-def step_calm(context, writes, reads):
+def step_store_load(context, writes, reads):
     seconds = context.cluster.store.record()["calls_by_second"]
     after = [row for row in seconds if row[0] >= int(context.back_at)]
     assert max(row[2] for row in after) <= writes, after
     assert max(row[1] for row in after) <= reads, after
 
 
-# ---- bad workers, bad jobs, cancellations
-
-
 @when('the worker on "{vm}" fails everything')
 def step_failing(context, vm):
     context.cluster.worker_by_vm[vm].faults(fail_everything=True)
@@ -664,12 +652,12 @@
 
 @then('job "{name}" failed, and its account says where')
 def step_failed(context, name):
-    seen = ended(context, name)
-    assert seen["state"] == "failed", seen
-    assert "failed on vm-" in seen["reason"], seen
+    found_account = ended(context, name)
+    assert found_account["state"] == "failed", found_account
+    assert "failed on vm-" in found_account["reason"], found_account
 
 
-@then('every job\'s account shows "{state_wanted}" and nothing runs')
+@then('every job\'s account shows "{state_wanted}" and no task runs')
 def step_all_in_state(context, state_wanted):
     for name in context.jobs:
         assert ended(context, name)["state"] == state_wanted, account(context, name)
--- a/features/steps/batch_world.py
+++ b/features/steps/batch_world.py
@@ -1,4 +1,4 @@
-"""What the in-process batch tests share: VMs, team, timing, inventory."""
+"""VMs, team, timing and configuration shared by the in-process batch tests."""
 
 from msgspec.structs import replace
 
@@ -32,6 +32,7 @@
 
 
 def configured(current: Configuration) -> Configuration:
+    """Return the configuration with the inventory and rules of the batch tests."""
     zones = [Zone(zone, "zilina") for zone in ("zilina-a", "zilina-b")]
     vms = [
         Vm(name, zone, f"rack-{name}", HELD.cores, HELD.memory_mb)
--- a/features/steps/fuzz_runs.py
+++ b/features/steps/fuzz_runs.py
@@ -1,13 +1,14 @@
-"""How every state machine of the suite is run: the same histories each time."""
+"""Runner of the suite's state machines, with the same histories each time."""
 
 from hypothesis import HealthCheck, Phase, settings
 from hypothesis.stateful import run_state_machine_as_test
 
 
 def run_histories(machine, count, steps):
-    """Run `count` histories of up to `steps` steps; a failing one is not shrunk.
+    """Run `count` histories of up to `steps` steps.
 
-    Shrinking takes minutes before a failing run says so.
+    A failing history is not shrunk, because shrinking delays the report of the
+    failure by minutes.
     """
     run_state_machine_as_test(
         machine,
