--- a/features/batch/capacity.feature
+++ b/features/batch/capacity.feature
@@ -33,7 +33,7 @@
     And "vm-2" never ran more than 2 tasks at a time
     And no task ever ran in two places
 
-  Scenario: Urgent work preempts other work on full VMs
+  Scenario: Urgent work evicts other work from full VMs
     Guards against urgent work that waits for hours while long tasks fill every VM,
     because an agent without room only refuses it.
     Given a batch deployment of VMs "vm-1=zilina-a=4 vm-2=zilina-b=4"
--- a/wagtailcleat/batch/grants.py
+++ b/wagtailcleat/batch/grants.py
@@ -90,9 +90,9 @@
             await self._shard.commit_all(events)
             # Ends that are reported at the same time are evaluated before any of
             # them is committed, so none of them shows that the job fails on several
-            # VMs. Those VMs then accept no more tasks of the job and report no more
-            # failures, so without this second check the job would stay pending
-            # until they accept its tasks again.
+            # VMs. The VMs then accept no tasks of the job for some time and report no
+            # more failures. Without this second check, the job would stay pending for
+            # that time although it fails everywhere.
             stops = [
                 stop
                 for job in _jobs_with_failures(events)
@@ -112,11 +112,11 @@
     def _stop_events_if_failing(
         self, job: JobRecord, failures_by_vm: dict[VmName, int]
     ) -> list[AnyEvent]:
-        """Return the event that stops a job if its tasks fail on every VM tried.
+        """Return the event that stops a job, if its tasks fail on several VMs.
 
         Parameters: `failures_by_vm` are failures that the record does not have yet.
         """
-        where = _failed_vms_if_failing(job, failures_by_vm)
+        where = _failing_vm_names(job, failures_by_vm)
         if not where:
             return []
         reason = f"its tasks failed on {where} and none succeeded"
@@ -143,17 +143,17 @@
             if job.cancelled or job.stopped:
                 stop.append(attempt)
             seconds_by_attempt[attempt] = seconds
-            self._raise_grant_bound(attempt, shard.grant_bound_from(now), fenced)
+            self._set_grant_bound(attempt, shard.grant_bound_from(now), fenced)
         acknowledged = [r.attempt for r in ended if not record.is_current(r.attempt)]
         return Grants(shard.journal.epoch, seconds_by_attempt, acknowledged, stop)
 
-    def _raise_grant_bound(
-        self, attempt: AttemptId, until: float, fenced: bool
-    ) -> None:
+    def _set_grant_bound(self, attempt: AttemptId, bound: float, fenced: bool) -> None:
         # If this answer is lost, an agent that has not yet accepted a request of
         # this epoch may still use grants of an earlier owner, so their bound holds.
-        known = 0.0 if fenced else self._shard.grant_bound_by_attempt.get(attempt, 0.0)
-        self._shard.grant_bound_by_attempt[attempt] = max(known, until)
+        earlier_bound = (
+            0.0 if fenced else self._shard.grant_bound_by_attempt.get(attempt, 0.0)
+        )
+        self._shard.grant_bound_by_attempt[attempt] = max(earlier_bound, bound)
 
     def record_adopted(self, answer: Adopted, held: list[AttemptId]) -> None:
         """Record an agent's answer to `Adopt` and end the attempts it does not list.
@@ -161,17 +161,18 @@
         Once it has answered, the agent refuses requests of earlier epochs, so an
         attempt that it does not list will never start.
 
-        Parameters: `held` are the attempts that the record assigns to the agent.
+        Parameters: `held` are the attempts that the record assigned to the agent
+        when the takeover began.
         """
         shard = self._shard
-        until = shard.grant_bound_from(shard.clock())
+        bound = shard.grant_bound_from(shard.clock())
         listed = {report.attempt for report in answer.reports}
         events: list[AnyEvent] = []
         for report in answer.reports:
             if report.state is not AttemptState.RUNNING:
                 events += self.events_for_end(report)
             elif shard.record.is_current(report.attempt):
-                shard.grant_bound_by_attempt[report.attempt] = until
+                shard.grant_bound_by_attempt[report.attempt] = bound
         never = AttemptState.NEVER_STARTED
         events += [
             AttemptEnded(attempt, never, "", "not at its agent", shard.wall_clock())
@@ -280,10 +281,11 @@
     return list(dict.fromkeys(job_of(end.attempt) for end in ends))
 
 
-def _failed_vms_if_failing(job: JobRecord, failures_by_vm: dict[VmName, int]) -> str:
-    """Return the VMs where a job's tasks failed, if several and none succeeded.
+def _failing_vm_names(job: JobRecord, failures_by_vm: dict[VmName, int]) -> str:
+    """Return the names of the VMs on which a job fails, or "" if it may still run.
 
-    Return "" if a task succeeded, or too few VMs or failures show a pattern.
+    A job fails if none of its tasks has succeeded and there were failures on at least
+    `MIN_FAILED_VMS_TO_STOP` VMs and `MIN_FAILURES_TO_STOP` failures in total.
 
     Parameters: `failures_by_vm` are failures that the record does not have yet.
     """
--- a/wagtailcleat/batch/journal.py
+++ b/wagtailcleat/batch/journal.py
@@ -62,7 +62,7 @@
     DEPOSED = "deposed"
     """Not written and never will be: another process owns the shard."""
     UNKNOWN = "unknown"
-    """In doubt: another process may own the shard and have read the events."""
+    """In doubt: the events may be in the log, and another process may own the shard."""
 
 
 @dataclass
--- a/wagtailcleat/batch/placer.py
+++ b/wagtailcleat/batch/placer.py
@@ -145,8 +145,8 @@
         found = team_named(shard.in_force.configuration, team)
         if found is None:
             return Resources()
-        count = team_shards(found, shard.shard_count).count(shard.id)
-        share = count / found.shards
+        times_listed = team_shards(found, shard.shard_count).count(shard.id)
+        share = times_listed / found.shards
         left = Resources(
             found.cores * share,
             int(found.memory_mb * share),
@@ -207,7 +207,7 @@
             now=shard.clock(),
         )
         if not found and spec.urgent:
-            # An agent makes room for urgent work by preempting work that is not.
+            # An agent makes room for urgent work by evicting work that is not.
             found = sample_any(agents, task, rng=shard.random)
         configuration = shard.in_force.configuration
         ordered = order_by_best_fit(found, size, configuration, shard.view.me.vm)
