--- a/features/steps/batch_steps.py
+++ b/features/steps/batch_steps.py
@@ -397,23 +397,23 @@
 
 @when("the paused agent resumes after {seconds:d} second")
 def step_resume_later(context, seconds):
-    resume_at = context.out_at + seconds
+    resume_at = context.zone_out_at + seconds
     wait_for(lambda: boot_time() >= resume_at, seconds + 1, "the pause")
     step_resume(context)
 
 
 @when('the store loses the next {count:d} answers to writes of "{part}"')
-def step_lose(context, count, part):
+def step_store_loses_answers(context, count, part):
     context.cluster.store.faults(lose_answers=count, lose_answers_matching=part)
 
 
 @when("the store answers {seconds:g} seconds late")
-def step_slow(context, seconds):
+def step_store_slow(context, seconds):
     context.cluster.store.faults(slow_seconds=seconds)
 
 
 @when("the store answers at once")
-def step_quick(context):
+def step_store_fast(context):
     context.cluster.store.faults()
 
 
@@ -429,50 +429,50 @@
 
 
 @when('the operator takes zone "{zone}" out')
-def step_out(context, zone):
+def step_zone_out(context, zone):
     answer = context.cluster.admin("POST", f"/admin/zones/{zone}/out")
     assert answer.status == 200, answer.body
-    context.out_at = boot_time()
+    context.zone_out_at = boot_time()
 
 
 @when('the operator brings zone "{zone}" back')
-def step_in(context, zone):
+def step_zone_in(context, zone):
     answer = context.cluster.admin("POST", f"/admin/zones/{zone}/in")
     assert answer.status == 200, answer.body
-    context.in_at = boot_time()
+    context.zone_in_at = boot_time()
 
 
 @when('the operator takes zone "{zone}" out and the store goes down')
-def step_out_and_down(context, zone):
-    step_out(context, zone)
-    step_down(context)
+def step_zone_out_and_store_down(context, zone):
+    step_zone_out(context, zone)
+    step_store_down(context)
 
 
-def step_down(context):
+def step_store_down(context):
     context.cluster.store.faults(down=True)
-    context.down_at = boot_time()
+    context.store_down_at = boot_time()
 
 
 @when('the store goes down while {count:d} tasks of "{name}" run')
-def step_down_while(context, count, name):
+def step_store_down_while(context, count, name):
     def running_now():
         return sum(f".{name}~" in r.task for r in running(context.cluster)) == count
 
     wait_for(running_now, WAIT_SECONDS, f"{count} tasks of {name} run")
-    step_down(context)
+    step_store_down(context)
 
 
 @when("the store hangs for {seconds:d} seconds")
-def step_hang(context, seconds):
+def step_store_hang(context, seconds):
     context.cluster.store.faults(hang=True)
-    context.down_at = boot_time()
-    step_back(context, seconds)
+    context.store_down_at = boot_time()
+    step_store_back(context, seconds)
 
 
 @when("callers submit jobs for {seconds:d} seconds")
 def step_submit_during(context, seconds):
     context.refused = []
-    until = context.down_at + seconds
+    until = context.store_down_at + seconds
     number = 0
     while boot_time() < until:
         name = f"refused-{number}"
@@ -483,11 +483,11 @@
 
 
 @when("the store is back after {seconds:d} seconds")
-def step_back(context, seconds):
-    back_at = context.down_at + seconds
-    wait_for(lambda: boot_time() >= back_at, seconds + 1, "the outage")
+def step_store_back(context, seconds):
+    store_back_at = context.store_down_at + seconds
+    wait_for(lambda: boot_time() >= store_back_at, seconds + 1, "the outage")
     context.cluster.store.faults()
-    context.back_at = boot_time()
+    context.store_back_at = boot_time()
 
 
 @then("no task ever ran in two places")
@@ -569,21 +569,22 @@
     vms = context.cluster.vm_by_name.values()
     inside = {vm.name for vm in vms if vm.zone == zone}
     late = [
-        (run, run.start - context.out_at)
+        (run, run.start - context.zone_out_at)
         for run in runs(context.cluster)
-        if run.vm in inside and run.start > context.out_at + seconds
+        if run.vm in inside and run.start > context.zone_out_at + seconds
     ]
     assert not late, late
 
 
 @then('a task runs in zone "{zone}" within {seconds:d} seconds')
-def step_back_in(context, zone, seconds):
+def step_runs_in_zone(context, zone, seconds):
     vms = context.cluster.vm_by_name.values()
     inside = {vm.name for vm in vms if vm.zone == zone}
 
     def started():
         return any(
-            r.vm in inside and r.start > context.in_at for r in runs(context.cluster)
+            r.vm in inside and r.start > context.zone_in_at
+            for r in runs(context.cluster)
         )
 
     wait_for(started, seconds, f"a task runs in {zone}")
@@ -624,7 +625,7 @@
 )
 def step_store_load(context, writes, reads):
     seconds = context.cluster.store.record()["calls_by_second"]
-    after = [row for row in seconds if row[0] >= int(context.back_at)]
+    after = [row for row in seconds if row[0] >= int(context.store_back_at)]
     assert max(row[2] for row in after) <= writes, after
     assert max(row[1] for row in after) <= reads, after
 
