--- a/wagtailcleat/batch/shard.py
+++ b/wagtailcleat/batch/shard.py
@@ -1,4 +1,4 @@
-"""What the parts of a shard's owner share."""
+"""The state and helpers that the parts of a shard's owner share."""
 
 import asyncio
 import random
@@ -6,10 +6,10 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from wagtailcleat.batch.journal import Commit, Journal
-from wagtailcleat.batch.learning import Learning
+from wagtailcleat.batch.journal import CommitOutcome, Journal
 from wagtailcleat.batch.penalties import Penalties
 from wagtailcleat.batch.record import AnyEvent, ShardRecord
+from wagtailcleat.batch.usage_estimates import UsageEstimates
 from wagtailcleat.clock import Clock
 from wagtailcleat.configuration.parts import InForce
 from wagtailcleat.ids import AttemptId, ShardId
@@ -20,17 +20,21 @@
 
 log = part_logger("batch")
 
-LAPSE_MARGIN = 1.05
-EVENTS_A_COMMIT = 200
-CALL_SECONDS = 1.0
+GRANT_MARGIN_FACTOR = 1.05
+MAX_EVENTS_PER_COMMIT = 200
+CALL_TIMEOUT_SECONDS = 1.0
 
 
 @dataclass
 class Shard:
-    """One shard as its owner holds it."""
+    """One shard, as its owner sees it.
+
+    `wake` makes the owner's loop run before its next interval;
+    `grant_bound_by_attempt` holds when each grant has lapsed at the latest.
+    """
 
     id: ShardId
-    shards: int
+    shard_count: int
     journal: Journal
     view: View
     in_force: InForce
@@ -40,47 +44,50 @@
     timing: Timing
     random: random.Random
     may_grant_until: Callable[[], float]
-    """Until when this process may hand out grants, on its clock."""
-    learning: Learning = field(default_factory=Learning)
+    """Returns until when this process may issue grants, on its clock."""
+    usage_estimates: UsageEstimates = field(default_factory=UsageEstimates)
     penalties: Penalties = field(default_factory=Penalties)
-    granted_until: dict[AttemptId, float] = field(default_factory=dict)
+    grant_bound_by_attempt: dict[AttemptId, float] = field(default_factory=dict)
     wake: asyncio.Event = field(default_factory=asyncio.Event)
     _background: set[asyncio.Task[None]] = field(default_factory=set)
 
     @property
     def record(self) -> ShardRecord:
-        """What is committed."""
+        """The committed state."""
         return self.journal.record
 
-    def whole_grant_from(self, now: float) -> float:
-        """Return when a grant answered by `now` has surely lapsed at its agent."""
-        return now + self.timing.grant * LAPSE_MARGIN
+    def grant_bound_from(self, now: float) -> float:
+        """Return when a grant issued up to `now` has lapsed at the latest."""
+        return now + self.timing.grant * GRANT_MARGIN_FACTOR
 
     async def commit_all(self, events: list[AnyEvent]) -> bool:
-        """Commit events that don't depend on one another; tell whether all are."""
+        """Commit independent events; return whether all were committed.
+
+        They are split into several commits, of which some may fail.
+        """
         slices = [
-            events[start : start + EVENTS_A_COMMIT]
-            for start in range(0, len(events), EVENTS_A_COMMIT)
+            events[start : start + MAX_EVENTS_PER_COMMIT]
+            for start in range(0, len(events), MAX_EVENTS_PER_COMMIT)
         ]
         outcomes = await asyncio.gather(*(self.journal.commit(s) for s in slices))
         self.wake.set()
-        return all(outcome is Commit.COMMITTED for outcome in outcomes)
+        return all(outcome is CommitOutcome.COMMITTED for outcome in outcomes)
 
-    def in_background(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[None]:
-        """Run `work` in a task of its own."""
-        task = asyncio.create_task(_ignore(work))
+    def run_in_background(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[None]:
+        """Run `work` in its own asyncio task; log its exceptions."""
+        task = asyncio.create_task(_log_exceptions(work))
         self._background.add(task)
         task.add_done_callback(self._background.discard)
         return task
 
     def stop_background(self) -> None:
-        """Cancel what runs in the background."""
+        """Cancel the background tasks."""
         for task in self._background:
             task.cancel()
 
 
-async def _ignore(work: Coroutine[Any, Any, Any]) -> None:
+async def _log_exceptions(work: Coroutine[Any, Any, Any]) -> None:
     try:
         await work
     except Exception:
-        log.exception("Work in the background crashed")
+        log.exception("A background task failed with an exception")
