--- a/features/steps/late_words_steps.py
+++ b/features/steps/late_words_steps.py
@@ -190,7 +190,7 @@
 @when("the worker lists {count:d} ends and its port refuses {refused:d} connections")
 def step_lists_ends(context, count, refused):
     world = context.hosting_world
-    world.rows = _end_rows(count)
+    world.ends = _end_rows(count)
     world.until(lambda: not world.hosting.ends_whole)
     world.refuse(refused)
 
