--- a/features/steps/sharing_steps.py
+++ b/features/steps/sharing_steps.py
@@ -1,4 +1,4 @@
-"""Steps on tasks that fill beside tasks that serve: the scheduler alone."""
+"""Steps on filling tasks beside serving tasks, with the scheduler alone."""
 
 from behave import given, then, when
 
@@ -9,11 +9,11 @@
     make_job,
     serving,
 )
-from features.steps.sharing_world import SwingingFleet
-from wagtailcleat.scheduling.interference import LEAST_VARIANCE, Estimate
+from features.steps.sharing_world import VaryingLoadFleet
+from wagtailcleat.scheduling.interference import MIN_VARIANCE, Estimate
 
 LEAST_DONE = 200
-"""Of 240 tasks; the margin is for the order in which unprofiled images start."""
+"""Of 240 tasks; the number varies with the order in which unprofiled images start."""
 LONG_AGO = 8.0
 """Seconds: more than the objective of the jobs here, less than three times that."""
 MOST_OVER = 0.03
@@ -26,11 +26,11 @@
     world.submit(make_job("serving", serving(1), priority=0))
     for _ in range(4):
         world.round()
-        _serve_at(world, share)
+        _report_serving_load(world, share)
     context.serving_node = world.running_nodes("serving")[0]
 
 
-def _serve_at(world, share):
+def _report_serving_load(world, share):
     for worker in world.worker_by_node.values():
         for key in worker.running:
             if key.task.job == "serving":
@@ -59,9 +59,9 @@
 @when("the serving task reports {share:g} times its target for {seconds:d} s")
 @when("the serving task reports {share:g} of its target for {seconds:d} s")
 def step_reports(context, share, seconds):
-    # One report more: the first one after a change still mixes before and after.
+    # One report more: the first one after a change covers the time before it, too.
     for _ in range(round(seconds / REPORT_SECONDS) + 1):
-        _serve_at(context.world, share)
+        _report_serving_load(context.world, share)
         context.world.round()
 
 
@@ -70,17 +70,17 @@
     assert not context.world.running_nodes("beside")
 
 
-@then('no other task of image "{image}" is let in there')
-def step_not_let_in(context, image):
+@then('no other task of image "{image}" is admitted there')
+def step_not_admitted(context, image):
     world = context.world
     world.submit(make_job("other", filling(1, image=image), priority=2))
-    _serve_at(world, 0.3)
+    _report_serving_load(world, 0.3)
     world.round()
     assert not world.running_nodes("other")
 
 
-@then('{count:d} more tasks of image "{image}" are let in')
-def step_let_in(context, count, image):
+@then('{count:d} more tasks of image "{image}" are admitted')
+def step_admitted(context, count, image):
     world = context.world
     world.submit(make_job("more", filling(count, image=image), priority=2))
     world.round()
@@ -94,13 +94,13 @@
     context.world.submit(job)
 
 
-@then('all of job "{name}" runs away from the serving task')
-def step_away(context, name):
+@then('all of job "{name}" runs on other VMs than the serving task')
+def step_on_other_vms(context, name):
     nodes = context.world.running_nodes(name)
     assert nodes and context.serving_node not in nodes, nodes
 
 
-@given("jobs of filling tasks with {count:d} images never seen")
+@given("jobs of filling tasks with {count:d} unprofiled images")
 def step_unprofiled(context, count):
     context.world.now += 2.0
     for number in range(count):
@@ -115,14 +115,14 @@
     assert 0 < len(fills) <= count, fills
 
 
-@then("its image is not taken to reach more than {share:g} alone")
-def step_alone(context, share):
+@then("its image's estimated load by itself is at most {share:g}")
+def step_estimated_load(context, share):
     learnt = context.world.scheduler.sharing.interference
     load = learnt.idle("watch") / (1 - learnt.base("watch"))
     assert load <= share, load
 
 
-@then("the filling task is paced down and not stopped")
+@then("the filling task is throttled and not stopped")
 def step_paced(context):
     worker = context.world.worker_by_node["vm-1"]
     assert context.world.running_nodes("beside")
@@ -130,7 +130,7 @@
 
 
 @given("{count:d} filling tasks with {cores:d} cores run")
-def step_fillers(context, count, cores):
+def step_filling_run(context, count, cores):
     step = filling(count, cores=cores)
     context.world.submit(make_job("fillers", step, priority=2))
     context.world.round()
@@ -143,18 +143,18 @@
     world.submit(make_job("serving", serving(count, cores=cores), priority=0))
     for _ in range(4):
         world.round()
-        _serve_at(world, share)
+        _report_serving_load(world, share)
 
 
-def _know(context, image, added):
+def _set_estimate(context, image, added):
     learnt = context.world.scheduler.sharing.interference
-    known = Estimate(added, LEAST_VARIANCE)
+    known = Estimate(added, MIN_VARIANCE)
     learnt.added_by_pair["watch", image] = known
 
 
 @given('a filling task of image "{image}" is known to slow nobody')
 def step_known_light(context, image):
-    _know(context, image, 0.0)
+    _set_estimate(context, image, 0.0)
 
 
 @given('filling tasks of images "{light}" and "{heavy}" run beside it, and are known')
@@ -162,7 +162,7 @@
     world = context.world
     world.now += 2.0
     for image, added in ((light, 0.05), (heavy, 0.8)):
-        _know(context, image, added)
+        _set_estimate(context, image, added)
         step = filling(1, image=image)
         job = make_job(image, step, priority=2, accepted_at=world.wall_now)
         world.submit(job)
@@ -176,14 +176,14 @@
     world = context.world
     for _ in range(5):
         both = world.running_nodes(context.light) and world.running_nodes(context.heavy)
-        _serve_at(world, share if both else 0.5)
+        _report_serving_load(world, share if both else 0.5)
         world.round()
 
 
 @then('only the task of image "{image}" is stopped')
 def step_only_stopped(context, image):
     assert context.heavy == image
-    # A stopped task goes on from its checkpoint in a second run, here or elsewhere.
+    # A stopped task continues from its checkpoint in a second run on some VM.
     world = context.world
     jobs = [key.task.job for _, key in world.starts]
     assert world.running_nodes(context.light) and jobs.count(context.light) == 1
@@ -192,14 +192,14 @@
 
 @given('a filling task of image "{image}" is known to add {added:g} on a whole VM')
 def step_known_heavy(context, image, added):
-    _know(context, image, added)
+    _set_estimate(context, image, added)
 
 
-@when('two jobs of image "{image}" are handed in, one of which will be late')
+@when('two jobs of image "{image}" are submitted, one of which will be late')
 def step_one_late(context, image):
     world = context.world
     step = filling(1, image=image)
-    # The late one is urgent, and so is looked at first.
+    # The late job is more urgent, so it is placed first.
     late = make_job("late", step, priority=1, accepted_at=world.wall_now - LONG_AGO)
     world.submit(late)
     world.submit(make_job("in-time", step, priority=2, accepted_at=world.wall_now))
@@ -227,9 +227,11 @@
     assert list(worker.pace_by_run.values())[-1] == 100, worker.pace_by_run
 
 
-@then("in a burst beside swinging serving tasks, filling work gets on and targets hold")
-def step_swinging(context):
-    fleet = SwingingFleet()
+@then(
+    "in a burst beside varying serving load, filling work progresses and targets hold"
+)
+def step_burst_beside_serving(context):
+    fleet = VaryingLoadFleet()
     fleet.play(seconds=30.0)
     assert fleet.done >= LEAST_DONE, fleet.done
     assert fleet.over_share <= MOST_OVER, fleet.over_share
--- a/features/steps/takeover_world.py
+++ b/features/steps/takeover_world.py
@@ -16,7 +16,7 @@
 
 from features.steps.scheduling_world import (
     WALL_START,
-    PretendedWorker,
+    SimulatedWorker,
     make_job,
     plain,
 )
@@ -424,7 +424,7 @@
     """An agent's link to the leader, and a worker whose runs end with their lease."""
 
     def __init__(
-        self, world: "TakeoverWorld", node: str, host: str, worker: PretendedWorker
+        self, world: "TakeoverWorld", node: str, host: str, worker: SimulatedWorker
     ) -> None:
         """Connect the parts and start; `worker` may outlive the agent's incarnation."""
         super().__init__(world, node, host)
@@ -515,7 +515,7 @@
                 self,
                 f"agent-{n}",
                 f"agent-host-{n}",
-                PretendedWorker(f"agent-{n}", cores=8.0),
+                SimulatedWorker(f"agent-{n}", cores=8.0),
             )
             for n in range(1, agents + 1)
         ]
