--- a/wagtailcleat/wire/__init__.py
+++ b/wagtailcleat/wire/__init__.py
@@ -1,4 +1,4 @@
 """Communication between the project's processes: streams, frames and typed messages.
 
-Messages are grouped by conversation; `messages.AnyMessage` is the union of all.
+Each module of messages covers one protocol; `messages.AnyMessage` is their union.
 """
--- a/wagtailcleat/wire/attempts.py
+++ b/wagtailcleat/wire/attempts.py
@@ -1,4 +1,8 @@
-"""Messages between a shard's owner and an agent that runs its attempts."""
+"""Messages between a shard's owner and an agent that runs its attempts.
+
+An attempt may run only under a grant: a lease from the shard's owner, which the agent
+renews for all attempts of the shard at once.
+"""
 
 from enum import Enum
 
@@ -16,7 +20,7 @@
 
 
 class Reserve(Message, frozen=True, tag="reserve"):
-    """Asks an agent to reserve resources for an attempt for a short time."""
+    """Request to reserve resources for an attempt for a short time."""
 
     attempt: AttemptId
     shard: ShardId
@@ -25,21 +29,24 @@
     job_class: str
     urgent: bool = False
     penalty: float | None = None
-    """Slowdown of the same services by the job class on other VMs, if known."""
+    """Slowdown of the same services by one core of the job class on other VMs.
+
+    None if it is unknown.
+    """
 
 
 class Reserved(Message, frozen=True, tag="reserved"):
-    """The resources are reserved for `lasts` seconds of the agent's clock."""
+    """Reply to `Reserve`: reserved for `lasts` seconds of the agent's clock."""
 
     lasts: float
     free: Resources
     incarnation: Incarnation
     penalty: float | None = None
-    """The slowdown of this VM's services by one core of the job class, if known."""
+    """Slowdown of this VM's services by one core of the job class; None if unknown."""
 
 
 class NoRoom(Message, frozen=True, tag="no_room"):
-    """The resources are not available; `free` is what is."""
+    """Reply to `Reserve`: not reserved; `free` are the resources that are available."""
 
     reason: str
     free: Resources
@@ -47,7 +54,10 @@
 
 
 class Start(Message, frozen=True, tag="start"):
-    """Asks to start a committed attempt in its reservation."""
+    """Request to start a committed attempt in its reservation.
+
+    `grant` is how long it may run without a renewal, in seconds from the reservation.
+    """
 
     attempt: AttemptId
     shard: ShardId
@@ -59,7 +69,7 @@
 
 
 class Release(Message, frozen=True, tag="release"):
-    """Releases a reservation that will not be used."""
+    """Request to release a reservation that will not be used."""
 
     attempt: AttemptId
 
@@ -76,7 +86,7 @@
 
 
 class AttemptReport(Message, frozen=True, tag="attempt_report"):
-    """State of an attempt at its agent; idempotent by attempt and state."""
+    """Report of an attempt's state at its agent; idempotent by attempt and state."""
 
     attempt: AttemptId
     shard: ShardId
@@ -84,12 +94,12 @@
     checkpoint: str = ""
     reason: str = ""
     used: Resources = Resources()
-    """Peak usage observed; usage is measured with a lag."""
+    """Peak usage observed; measurements lag behind the actual usage."""
     ran_seconds: float = 0.0
 
 
 class RenewGrants(Message, frozen=True, tag="renew_grants"):
-    """Asks to renew an agent's grants for one shard, and reports its attempts."""
+    """Request to renew an agent's grants for one shard, with the attempts' states."""
 
     vm: VmName
     node: NodeId
@@ -101,7 +111,11 @@
 
 
 class Grants(Message, frozen=True, tag="grants"):
-    """Answers `RenewGrants`; each grant counts from the sending of the request."""
+    """Reply to `RenewGrants`.
+
+    Each grant counts from the time at which the request was sent. Reports of the
+    attempts in `acknowledged` need not be repeated; the attempts in `stop` must end.
+    """
 
     epoch: Epoch
     seconds_by_attempt: dict[AttemptId, float]
@@ -110,7 +124,7 @@
 
 
 class Evict(Message, frozen=True, tag="evict"):
-    """Asks to checkpoint and stop an attempt."""
+    """Request to checkpoint and stop an attempt."""
 
     attempt: AttemptId
     shard: ShardId
--- a/wagtailcleat/wire/base.py
+++ b/wagtailcleat/wire/base.py
@@ -1,7 +1,7 @@
-"""The base of every message between the project's processes."""
+"""Base class of all messages between the project's processes."""
 
 import msgspec
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True):
-    """Base of all messages; travels as a msgpack array that begins with its tag."""
+    """A message, encoded as a msgpack array whose first item is its tag."""
--- a/wagtailcleat/wire/configuration.py
+++ b/wagtailcleat/wire/configuration.py
@@ -1,17 +1,17 @@
-"""Messages that replicate the configuration."""
+"""Messages by which a process replicates the configuration from a peer."""
 
 from wagtailcleat.ids import Revision
 from wagtailcleat.wire.base import Message
 
 
 class PullConfiguration(Message, frozen=True, tag="pull_configuration"):
-    """Asks for the changes after `revision`."""
+    """Request for the changes after `revision`."""
 
     revision: Revision
 
 
 class ConfigurationPart(Message, frozen=True, tag="configuration_part"):
-    """One part, for example `vms/vm-1`; `value` is JSON, empty where removed."""
+    """One part, for example `vms/vm-1`; `value` is JSON, or empty if it was removed."""
 
     key: str
     revision: Revision
@@ -19,10 +19,10 @@
 
 
 class ConfigurationDelta(Message, frozen=True, tag="configuration_delta"):
-    """All parts of the configuration changed after the revision asked for."""
+    """Reply to `PullConfiguration`: all parts changed after the requested revision."""
 
     revision: Revision
     change_id: str
     parts: list[ConfigurationPart]
     whole: bool
-    """Whether this is a full snapshot: parts not listed are removed."""
+    """Whether this is a full snapshot, so that parts not listed are removed."""
--- a/wagtailcleat/wire/handshake.py
+++ b/wagtailcleat/wire/handshake.py
@@ -1,4 +1,4 @@
-"""Messages that open a stream: both sides' hello, then both sides' proof."""
+"""Messages of the handshake that opens a stream; `peers` exchanges them."""
 
 from enum import Enum
 
@@ -9,7 +9,7 @@
 
 
 class Role(Enum):
-    """Which program a node runs."""
+    """Program that a node runs."""
 
     ENTRY = "entry"
     AGENT = "agent"
@@ -17,7 +17,7 @@
 
 
 class Hello(Message, frozen=True, tag="hello"):
-    """First frame of either side; `nonce` is fresh for this stream."""
+    """First message of both sides; `nonce` is random and new for each stream."""
 
     version: int
     node: NodeId
@@ -27,6 +27,6 @@
 
 
 class Proof(Message, frozen=True, tag="proof"):
-    """Second frame of either side: shows the cluster secret without sending it."""
+    """Second message of both sides; proves knowledge of the cluster secret by a MAC."""
 
     mac: bytes
--- a/wagtailcleat/wire/jobs.py
+++ b/wagtailcleat/wire/jobs.py
@@ -1,4 +1,7 @@
-"""Messages to the owner of a shard: submit, show, list and cancel jobs."""
+"""Messages from an entry to the owner of a shard, and the replies.
+
+They submit, show, list and cancel jobs.
+"""
 
 from wagtailcleat.ids import JobId, Revision, ShardId, TeamName
 from wagtailcleat.resources import Resources
@@ -6,7 +9,7 @@
 
 
 class TaskSpec(Message, frozen=True, tag="task_spec"):
-    """The command of each task of a job and the resources it requests."""
+    """Command of each task of a job, and the resources that one task requests."""
 
     command: str
     size: Resources
@@ -14,9 +17,9 @@
 
 
 class JobSpec(Message, frozen=True, tag="job_spec"):
-    """A job as submitted; `deadline` is wall-clock seconds since 1970.
+    """A job as submitted; `deadline` is wall-clock time in seconds since 1970.
 
-    If it is 0, the owner sets it to `deadline_seconds` after accepting the job.
+    If it is 0, the owner sets it to `deadline_seconds` after it has accepted the job.
     """
 
     id: JobId
@@ -31,7 +34,7 @@
 
 
 class SubmitJob(Message, frozen=True, tag="submit_job"):
-    """Asks the owner of the job's shard to accept it.
+    """Request that the owner of the job's shard accept the job.
 
     `revision` is the sender's configuration revision.
     """
@@ -41,43 +44,49 @@
 
 
 class Behind(Message, frozen=True, tag="behind"):
-    """The receiver has an older configuration than the sender, which may retry."""
+    """Reply to `SubmitJob`: the owner's configuration is older than the sender's.
+
+    The sender may retry.
+    """
 
 
 class ShowJob(Message, frozen=True, tag="show_job"):
-    """Asks for a job's account."""
+    """Request for the description of a job."""
 
     id: JobId
     shard: ShardId
 
 
 class ListJobs(Message, frozen=True, tag="list_jobs"):
-    """Asks for the accounts of a team's jobs in one shard."""
+    """Request for the descriptions of a team's jobs in one shard."""
 
     shard: ShardId
     team: TeamName
 
 
 class CancelJob(Message, frozen=True, tag="cancel_job"):
-    """Asks to stop a job's tasks; idempotent."""
+    """Request to stop the tasks of a job; idempotent."""
 
     id: JobId
     shard: ShardId
 
 
 class JobAccount(Message, frozen=True, tag="job_account"):
-    """An account of a job, as JSON text for the caller."""
+    """Description of a job, as JSON text for the caller."""
 
     text: str
 
 
 class JobAccounts(Message, frozen=True, tag="job_accounts"):
-    """The accounts of a shard's jobs."""
+    """Descriptions of a team's jobs in one shard, each as JSON text."""
 
     texts: list[str]
 
 
 class NotOwner(Message, frozen=True, tag="not_owner"):
-    """The receiver does not own the shard; `owner` is a hint, or empty."""
+    """Reply of a node that does not own the shard.
+
+    `owner` is the owner as far as the node knows, or empty.
+    """
 
     owner: str
--- a/wagtailcleat/wire/membership.py
+++ b/wagtailcleat/wire/membership.py
@@ -1,4 +1,4 @@
-"""Messages of gossip: members, exchanges of views, and probes."""
+"""Messages of the membership protocol: gossip, anti-entropy and indirect probes."""
 
 from enum import Enum
 
@@ -17,7 +17,7 @@
 
 
 class MemberState(Enum):
-    """State of a member, as reported by itself or suspected by others."""
+    """State of a member, as announced by itself or suspected by others."""
 
     ALIVE = "alive"
     LEAVING = "leaving"
@@ -27,10 +27,11 @@
 
 
 class Member(Message, frozen=True, tag="member"):
-    """One node as gossip reports it; eventually consistent, not authoritative.
+    """A node as known from gossip; eventually consistent, not authoritative.
 
-    The higher (incarnation, version) wins. Only the node itself increments `version`;
-    a suspicion carries the version that it refers to.
+    Of two records of a node, the one with the higher (incarnation, version) wins. Only
+    the node itself increments `version`; a suspicion carries the version that it refers
+    to.
     """
 
     node: NodeId
@@ -48,31 +49,31 @@
 
 
 class Gossip(Message, frozen=True, tag="gossip"):
-    """One exchange: members changed recently, and a digest of the sender's view."""
+    """A gossip exchange: recently changed members and a digest of the sender's view."""
 
     sender: NodeId
     revision: Revision
     members: list[Member]
     digest: int
-    """Sum over all known members; equal digests mean equal views."""
+    """Checksum over all known members; equal digests mean equal views."""
     free: Resources
 
 
 class CompareViews(Message, frozen=True, tag="compare_views"):
-    """Asks for the members of each bucket whose sum differs from the sender's."""
+    """Request for the members of each bucket whose checksum is not the sender's."""
 
     sums: list[int]
 
 
 class Members(Message, frozen=True, tag="members"):
-    """Members of the buckets that differ, and the numbers of those buckets."""
+    """Reply to `CompareViews`: the buckets that differ, and their members."""
 
     buckets: list[int]
     members: list[Member]
 
 
 class Probe(Message, frozen=True, tag="probe"):
-    """Asks a third node to probe a member that the sender can't reach."""
+    """Request to probe a member that the sender can't reach (an indirect probe)."""
 
     host: str
     port: int
--- a/wagtailcleat/wire/messages.py
+++ b/wagtailcleat/wire/messages.py
@@ -1,7 +1,7 @@
-"""The union of all messages, against which each received frame is checked.
+"""The union of all messages; each received frame is decoded and validated against it.
 
-A message travels as a msgpack array whose first item is its tag. Durations are in
-seconds from the moment of sending, so that clocks of two nodes are never compared.
+A message is encoded as a msgpack array whose first item is its tag. Durations are in
+seconds from the time of sending, so that the clocks of two nodes are never compared.
 """
 
 from wagtailcleat.wire.attempts import (
--- a/wagtailcleat/wire/request_ids.py
+++ b/wagtailcleat/wire/request_ids.py
@@ -1,12 +1,13 @@
-"""Request ids: who numbered a request, and where it may run.
+"""Request ids: which entry numbered a request, and where it may run.
 
-A plain id is `ENTRY.INCARNATION.rN`: the entry's Nth request. A keyed id, given
-out beforehand, is `AGENT.INCARNATION.ENTRY.INCARNATION.kN.MAC`: it names the one
-agent incarnation where it may run, so it runs at most once through whichever
-entry it comes. The MAC shows that an entry of this deployment gave it out.
+A plain id is `ENTRY.INCARNATION.rN`: the entry's Nth request. A keyed id, issued in
+advance as an idempotency key, is `AGENT.INCARNATION.ENTRY.INCARNATION.kN.MAC`. It names
+the one agent incarnation where the request may run, so that it runs at most once,
+whichever entry forwards it. The MAC proves that an entry of this deployment issued it.
 
-Numbers only grow within a series. So an agent that has forgotten a request still
-knows that it, and all before it in its series, must not be run any more.
+A series is the ids of one entry incarnation and one kind; its numbers only grow. So an
+agent that has forgotten a request still knows that this request, and all before it in
+its series, must not be run any more.
 """
 
 import hmac
@@ -17,6 +18,7 @@
 MAC_HEX_DIGITS = 24
 KEYED_FIELDS = 6
 MAX_ID_LENGTH = 300
+"""In characters; longer keys are rejected before their MAC is computed."""
 
 
 @dataclass(frozen=True)
@@ -28,45 +30,45 @@
 
 
 class RequestIds:
-    """Numbers one entry's requests; gives out keys and checks them."""
+    """Numbers one entry's requests; issues keyed ids and verifies them."""
 
     def __init__(self, node: NodeId, incarnation: Incarnation, secret: str) -> None:
         """Start numbering at one; `secret` is the cluster's."""
-        self._me = f"{node}.{incarnation}"
+        self._prefix = f"{node}.{incarnation}"
         self._secret = secret.encode()
-        self._plain = 0
-        self._keyed = 0
+        self._plain_count = 0
+        self._keyed_count = 0
 
     def plain(self) -> RequestId:
         """Return the id of a request that is sent once."""
-        self._plain += 1
-        return RequestId(f"{self._me}.r{self._plain}")
+        self._plain_count += 1
+        return RequestId(f"{self._prefix}.r{self._plain_count}")
 
     def keyed(self, home: Home) -> RequestId:
-        """Return an id that a caller may use repeatedly."""
-        self._keyed += 1
-        head = f"{home.node}.{home.incarnation}.{self._me}.k{self._keyed}"
-        return RequestId(f"{head}.{self._mac(head)}")
+        """Return an id, bound to `home`, with which a caller may repeat a request."""
+        self._keyed_count += 1
+        signed = f"{home.node}.{home.incarnation}.{self._prefix}.k{self._keyed_count}"
+        return RequestId(f"{signed}.{self._mac(signed)}")
 
     def home(self, key: str) -> Home | None:
-        """Return where a key may run, or nothing where none of us gave it out."""
+        """Return where a keyed id may run; None if this deployment did not issue it."""
         if len(key) > MAX_ID_LENGTH or not key.isascii():
             return None
-        head, _, mac = key.rpartition(".")
+        signed, _, mac = key.rpartition(".")
         fields = key.split(".")
         if len(fields) != KEYED_FIELDS:
             return None
-        if not hmac.compare_digest(mac, self._mac(head)):
+        if not hmac.compare_digest(mac, self._mac(signed)):
             return None
         return Home(NodeId(fields[0]), Incarnation(int(fields[1])))
 
-    def _mac(self, head: str) -> str:
-        mac = hmac.digest(self._secret, f"request-id|{head}".encode(), "sha256")
+    def _mac(self, signed: str) -> str:
+        mac = hmac.digest(self._secret, f"request-id|{signed}".encode(), "sha256")
         return mac.hex()[:MAC_HEX_DIGITS]
 
 
 def series_and_number(request: RequestId) -> tuple[str, int] | None:
-    """Return the series of an id and its number there, if it has any."""
+    """Return the series of an id and its number there; None if it has none."""
     series, _, last = request.rpartition(".")
     if not last.startswith("r"):
         series, _, last = series.rpartition(".")
@@ -77,6 +79,6 @@
 
 
 def is_keyed(request: RequestId) -> bool:
-    """Tell whether an id was given out beforehand."""
+    """Return whether an id is keyed: issued in advance."""
     found = series_and_number(request)
     return found is not None and found[0].endswith(".k")
--- a/wagtailcleat/wire/requests.py
+++ b/wagtailcleat/wire/requests.py
@@ -1,15 +1,16 @@
-"""Messages between entry and agent that forward a service request."""
+"""Messages between an entry and an agent that forward a service request."""
 
 from wagtailcleat.ids import Incarnation, RequestId, ServiceName
 from wagtailcleat.wire.base import Message
 
 WRONG_INCARNATION = "wrong_incarnation"
+"""Reason of a refusal: the request is addressed to another incarnation."""
 
 Header = tuple[str, str]
 
 
 class Load(Message, frozen=True, tag="load"):
-    """The load of one service at one agent; sent with each answer."""
+    """Load of one service at one agent; sent with each answer."""
 
     in_flight: int
     queued: int
@@ -27,17 +28,20 @@
     body: bytes
     deadline: float
     incarnation: Incarnation
-    """The agent's incarnation that the request is addressed to."""
+    """Incarnation of the agent that the request is addressed to."""
     keep: bool = False
-    """Whether the id was issued in advance, so that the request may be repeated."""
+    """Whether the id is keyed: issued in advance, so that a caller may repeat it."""
     idempotent: bool = False
-    """Whether it may run twice."""
+    """Whether the request may run twice."""
     parts: bool = False
-    """Whether the body follows in parts."""
+    """Whether the body is sent in parts after this message."""
 
 
 class Answer(Message, frozen=True, tag="answer"):
-    """The endpoint's answer; where `parts` is set, the body follows in parts."""
+    """Reply to `ServiceRequest`: the endpoint's answer.
+
+    If `parts` is set, the body is sent in parts after this message.
+    """
 
     status: int
     headers: list[Header]
@@ -47,22 +51,22 @@
 
 
 class Part(Message, frozen=True, tag="part"):
-    """One part of a body."""
+    """One part of a body that is sent in parts."""
 
     data: bytes
 
 
 class PartsEnd(Message, frozen=True, tag="parts_end"):
-    """End of a body sent in parts; `whole` is false if it is incomplete."""
+    """End of a body sent in parts; `whole` is false if the body is incomplete."""
 
     whole: bool
 
 
 class Settle(Message, frozen=True, tag="settle"):
-    """Asks for the outcome of a request whose answer was lost.
+    """Query for the outcome of a request in doubt, whose answer was lost.
 
-    An unknown id is recorded as refused, so that the request is dropped if it arrives
-    later.
+    The agent waits up to `wait` seconds for the outcome. It records an unknown id as
+    refused, so that the request is not run if it arrives later.
     """
 
     id: RequestId
@@ -72,4 +76,4 @@
 
 
 class Running(Message, frozen=True, tag="running"):
-    """Answers `Settle`: the request is still running."""
+    """Reply to `Settle`: the request is still running."""
--- a/wagtailcleat/wire/results.py
+++ b/wagtailcleat/wire/results.py
@@ -1,14 +1,17 @@
-"""Results common to several calls: done, or refused."""
+"""Replies common to several kinds of calls: done, or refused."""
 
 from wagtailcleat.wire.base import Message
 
 
 class Done(Message, frozen=True, tag="done"):
-    """The call succeeded."""
+    """Reply to a call that succeeded."""
 
 
 class Refused(Message, frozen=True, tag="refused"):
-    """The call was not carried out; `code` is a value of `errors.Code`."""
+    """Reply to a call that was not carried out.
+
+    `code` is a value of `errors.Code`; `retry_after` is in seconds, 0 if not given.
+    """
 
     code: str
     reason: str
--- a/wagtailcleat/wire/scheduling.py
+++ b/wagtailcleat/wire/scheduling.py
@@ -1,6 +1,7 @@
-"""Messages between entries, the leader and agents on jobs of several steps.
+"""Messages between entries, the leader and agents for jobs of several steps.
 
-Durations are in seconds and count from the moment of sending.
+They serve leader election, agents' reports and orders, and submissions. Durations are
+in seconds from the time of sending.
 """
 
 from wagtailcleat.ids import Epoch, Incarnation, JobId, NodeId, ZoneName
@@ -17,22 +18,23 @@
 
 
 class WhoLeads(Message, frozen=True, tag="who_leads"):
-    """Asks an entry which entry leads, as far as it knows.
+    """Query to an entry for the leader that it knows of.
 
-    An entry that asks says where it is itself; the leader may need its word later.
+    An entry that asks states its own address, since the leader may later need its
+    promise not to claim leadership (`KeepFollowing`).
     """
 
     host: str = ""
     port: int = 0
     incarnation: int = 0
     weight: float = 1.0
-    """Cores that the entry may use."""
+    """Number of cores that the entry may use."""
 
 
 class Leads(Message, frozen=True, tag="leads"):
-    """Names the leader; also sent unasked by a new leader.
+    """Reply to `WhoLeads`: the leader; a new leader also sends it unasked.
 
-    Epoch 0 means that none is known.
+    Epoch 0 means that no leader is known.
     """
 
     epoch: Epoch
@@ -43,7 +45,7 @@
 
 
 class Report(Message, frozen=True, tag="report"):
-    """All that an agent knows of its worker; the latest one replaces those before."""
+    """State of an agent's worker; each report replaces the earlier ones."""
 
     node: NodeId
     incarnation: Incarnation
@@ -51,44 +53,48 @@
     host: str
     port: int
     worker: WorkerInfo | None
-    """None until the worker has said who it is, and after it has left."""
+    """None until the worker has identified itself, and after it has left."""
     left: bool
-    """Whether the worker has left for good: nothing runs there."""
+    """Whether the worker has left permanently, so that nothing runs there."""
     listed: bool
-    """Whether `running` and `ended` are the worker's own list, in this life."""
+    """Whether the worker has listed `running` and `ended` in this incarnation."""
     running: list[Running]
     ended: list[Ended]
     unsettled: list[RunKey]
-    """Starts that were taken on and may yet be carried out."""
+    """Runs in doubt: their starts were accepted and may still be carried out.
+
+    Also the runs whose ends had no room in `ended`.
+    """
     refused: list[tuple[RunKey, Refusal]]
-    """Starts that surely never run; repeated until the leader has answered."""
+    """Starts that will never be carried out; repeated until the leader has replied."""
     silent_seconds: float
-    """For how long the worker has not answered."""
+    """Time since which the worker has not answered."""
     lease_seconds: float
-    """For how long what runs there may go on, at most, without a renewal."""
+    """Upper bound of the time for which its runs may go on without a renewal."""
     orders_taken: int
-    """Number of the last orders of the leader that were taken in."""
+    """`Orders.number` of the last orders that the agent accepted."""
     epoch: Epoch = Epoch(0)
-    """The epoch that the agent follows: orders of older ones are not taken any more."""
+    """The epoch that the agent follows; it rejects orders of older epochs."""
     number: int = 0
-    """Rises with each report of one life of the agent."""
+    """Sequence number, which rises with each report of one incarnation of the agent."""
     ends_whole: bool = True
-    """Whether `ended` has every end; if not, a run may be listed nowhere."""
+    """Whether `ended` is complete; if not, an ended run may be listed nowhere."""
 
 
 class FollowFirst(Message, frozen=True, tag="follow_first"):
-    """Answers a report made for another epoch: it was not taken in.
+    """Reply to a report for another epoch, which the leader did not accept.
 
-    The agent is to follow `epoch`, and then to report again.
+    The agent must follow `epoch` and then report again.
     """
 
     epoch: Epoch
 
 
 class ReportTaken(Message, frozen=True, tag="report_taken"):
-    """Answers a report.
+    """Reply to a report that the leader accepted.
 
-    For `valid_seconds` after it was sent, the agent may carry out orders of `epoch`.
+    The agent may carry out orders of `epoch` for `valid_seconds` after it sent the
+    report.
     """
 
     epoch: Epoch
@@ -96,14 +102,15 @@
 
 
 class Orders(Message, frozen=True, tag="orders"):
-    """What an agent is to do.
+    """Orders from the leader to an agent.
 
-    `acknowledged` numbers the last durable end of the worker's life `born`.
+    Ends of runs up to the number `acknowledged` in the worker's incarnation `born` are
+    durable, so that the worker may forget them.
     """
 
     epoch: Epoch
     number: int
-    """Rises with each message of one leader to one agent."""
+    """Sequence number, which rises with each message of one leader to one agent."""
     born: int
     starts: list[Start]
     stops: list[RunKey]
@@ -112,72 +119,79 @@
 
 
 class Submitted(Message, frozen=True, tag="submitted"):
-    """Tells the leader of a job that was just stored; `job` is its stored form."""
+    """Notification to the leader of a job just stored; `job` is its stored form."""
 
     id: JobId
     job: bytes
 
 
 class StoreJob(Message, frozen=True, tag="store_job"):
-    """Asks an entry that reaches the store to store a job; made once per id."""
+    """Request that an entry that reaches the store store a job; sent once per id."""
 
     id: JobId
     job: bytes
 
 
 class JobStored(Message, frozen=True, tag="job_stored"):
-    """What became of `StoreJob`; `outcome` is a value of `Acceptance`."""
+    """Reply to `StoreJob`; `outcome` is a value of `Acceptance`."""
 
     outcome: str
 
 
 class ShowState(Message, frozen=True, tag="show_state"):
-    """Asks the leader how a job stands."""
+    """Request to the leader for the state of a job."""
 
     id: JobId
 
 
 class StateShown(Message, frozen=True, tag="state_shown"):
-    """How a job stands; empty where the leader does not know it."""
+    """Reply with the state of a job; empty if the leader does not know the job."""
 
     state: str
 
 
 class CancelSteps(Message, frozen=True, tag="cancel_steps"):
-    """Asks the leader to cancel a job for good."""
+    """Request that the leader cancel a job permanently."""
 
     id: JobId
 
 
 class CountWaiting(Message, frozen=True, tag="count_waiting"):
-    """Asks how many jobs of a queue have not begun."""
+    """Request for the number of a queue's jobs that have not begun."""
 
     queue: str
 
 
 class Waiting(Message, frozen=True, tag="waiting"):
-    """The number of a queue's jobs that have not begun."""
+    """Reply to `CountWaiting`: the number of a queue's jobs that have not begun."""
 
     count: int
 
 
 class KeepFollowing(Message, frozen=True, tag="keep_following"):
-    """The leader asks an entry for its word not to claim for a while."""
+    """Request from the leader for an entry's promise not to claim leadership.
+
+    A leader of `epoch` that can't reach the store needs this vote of each entry, for a
+    limited time, to go on leading.
+    """
 
     epoch: Epoch
 
 
 class Follows(Message, frozen=True, tag="follows"):
-    """An entry's word not to claim for `seconds` from receiving the question."""
+    """Reply to `KeepFollowing`: a promise not to claim leadership for `seconds`.
+
+    They count from when the entry received the request; 0 means that it refuses.
+    """
 
     epoch: Epoch
-    """The highest epoch that the entry knows."""
+    """The highest epoch that the entry knows of."""
     seconds: float
     store_age: float
-    """Seconds since the store last answered this entry."""
+    """Seconds since the store last answered the entry."""
 
 
 class TakeOver(Message, frozen=True, tag="take_over"):
-    """The leader lays down `epoch` in favour of the receiver."""
+    """Leadership transfer: the leader of `epoch` resigns so the receiver can claim."""
 
     epoch: Epoch
--- a/wagtailcleat/wire/takeover.py
+++ b/wagtailcleat/wire/takeover.py
@@ -1,4 +1,4 @@
-"""Messages of a shard's new owner to earlier owners and to agents."""
+"""Messages from a shard's new owner to earlier owners and to agents, and replies."""
 
 from wagtailcleat.ids import Epoch, Incarnation, ShardId, VmName
 from wagtailcleat.wire.attempts import AttemptReport
@@ -6,21 +6,24 @@
 
 
 class StepDown(Message, frozen=True, tag="step_down"):
-    """Asks an earlier owner to issue no more grants for a shard."""
+    """Request that an earlier owner issue no more grants for a shard."""
 
     shard: ShardId
     epoch: Epoch
 
 
 class Adopt(Message, frozen=True, tag="adopt"):
-    """Asks an agent for all attempts of a shard, and fences owners of older epochs."""
+    """Request for all attempts of a shard at an agent.
+
+    `epoch` is a fencing token: the agent then refuses owners of older epochs.
+    """
 
     shard: ShardId
     epoch: Epoch
 
 
 class Adopted(Message, frozen=True, tag="adopted"):
-    """Attempts of a shard at an agent: running, or ended and not acknowledged."""
+    """Reply to `Adopt`: attempts that run, or have ended without an acknowledgement."""
 
     vm: VmName
     incarnation: Incarnation
--- a/wagtailcleat/wire/task_ids.py
+++ b/wagtailcleat/wire/task_ids.py
@@ -1,4 +1,4 @@
-"""Builds and parses the ids of tasks and attempts."""
+"""Builds and parses the ids of tasks (`JOB/INDEX`) and attempts (`TASK/NUMBER`)."""
 
 from wagtailcleat.ids import AttemptId, JobId, ShardId, TaskId
 
