--- a/bench/mesh.py
+++ b/bench/mesh.py
@@ -15,7 +15,7 @@
 from wagtailcleat.membership.gossip import Gossiper
 from wagtailcleat.membership.view import View
 from wagtailcleat.settings import Timing
-from wagtailcleat.wire.frames import Frame, Kind, encode
+from wagtailcleat.wire.frames import Frame, FrameKind, encode
 from wagtailcleat.wire.handshake import PROTOCOL_VERSION, Hello, Proof, Role
 from wagtailcleat.wire.membership import Member, MemberState
 from wagtailcleat.wire.messages import AnyMessage
@@ -61,7 +61,7 @@
         bytes(NONCE_BYTES),
     )
     proof = Proof(bytes(MAC_BYTES))
-    return sum(len(encode(Frame(Kind.CALL, 0, m))) for m in (hello, proof))
+    return sum(len(encode(Frame(FrameKind.CALL, 0, m))) for m in (hello, proof))
 
 
 class MeshNode:
@@ -158,13 +158,13 @@
         await self._open(source, target)
         lost = self._random.random() < self.loss
         answer_lost = lost and self._random.random() < 0.5  # noqa: PLR2004
-        self._send(source, target, Frame(Kind.CALL, self.calls, message))
+        self._send(source, target, Frame(FrameKind.CALL, self.calls, message))
         if lost and not answer_lost:
             await asyncio.sleep(timeout)
             return Lost(True, "no answer in time")
         await asyncio.sleep(ONE_WAY_SECONDS)
         answer = await target.handler_by_type[type(message)](message)
-        self._send(target, source, Frame(Kind.REPLY, self.calls, answer))
+        self._send(target, source, Frame(FrameKind.REPLY, self.calls, answer))
         if answer_lost:
             await asyncio.sleep(timeout)
             return Lost(True, "no answer in time")
--- a/wagtailcleat/wire/frames.py
+++ b/wagtailcleat/wire/frames.py
@@ -1,4 +1,7 @@
-"""Frames: one msgpack value each, cut from a stream by msgpack's own unpacker."""
+"""Encoding of frames and their decoding from the bytes of a stream.
+
+A frame is one msgpack value, so that msgpack's unpacker finds its end.
+"""
 
 from collections.abc import Iterator
 from enum import IntEnum
@@ -11,11 +14,12 @@
 
 MAX_FRAME_BYTES = 4 * 1024 * 1024
 MAX_ITEMS = 100_000
-FIRST_BUFFER_BYTES = 16_384
+"""Limit of the items of one array or map."""
+INITIAL_BUFFER_BYTES = 16_384
 
 
-class Kind(IntEnum):
-    """What a frame is to the call whose number it carries."""
+class FrameKind(IntEnum):
+    """Type of a frame, by what it is to the call whose id it carries."""
 
     CALL = 0
     REPLY = 1
@@ -23,20 +27,21 @@
     CANCEL = 3
     PING = 4
     PONG = 5
-    MORE = 6
+    WINDOW_UPDATE = 6
     BODY = 7
-    AWAY = 8
+    GOAWAY = 8
 
 
 class Frame(msgspec.Struct, frozen=True, array_like=True):
-    """One frame; PING, PONG, CANCEL and MORE carry no message.
+    """One frame; PING, PONG, CANCEL, WINDOW_UPDATE and GOAWAY carry no message.
 
-    PART is a piece of an answer, BODY one of a call; MORE allows further parts.
-    AWAY says that no call after the one it numbers is or will be served.
+    PART is a part of an answer, BODY a part of a call. WINDOW_UPDATE lets the sender of
+    an answer send `parts.WINDOW_UPDATE_PARTS` further parts. GOAWAY announces, as in
+    HTTP/2, that no call with an id above `call_id` was or will be served.
     """
 
-    kind: Kind
-    call: int
+    kind: FrameKind
+    call_id: int
     message: AnyMessage | None = None
 
 
@@ -44,30 +49,30 @@
 
 
 def encode(frame: Frame) -> bytes:
-    """Return the bytes of `frame`."""
+    """Return `frame` encoded as msgpack."""
     return _encoder.encode(frame)
 
 
 class FrameReader:
-    """Cuts the bytes of one stream into frames."""
+    """Decodes the frames of one stream from its bytes."""
 
     def __init__(self, *, max_bytes: int = MAX_FRAME_BYTES) -> None:
-        """Refuse frames of more than `max_bytes`."""
+        """Limit each frame to `max_bytes`."""
         self._unpacker = msgpack.Unpacker(
             raw=False,
-            # The buffer starts with this size; msgpack's own start, 1 MB, would
-            # take a gigabyte from an entry with a thousand streams.
-            read_size=FIRST_BUFFER_BYTES,
+            # The initial size of the buffer. With msgpack's default of 1 MB, an entry
+            # with a thousand streams would use a gigabyte.
+            read_size=INITIAL_BUFFER_BYTES,
             max_buffer_size=max_bytes,
             max_array_len=MAX_ITEMS,
             max_map_len=MAX_ITEMS,
         )
 
     def feed(self, data: bytes) -> Iterator[Frame]:
-        """Yield each frame completed by `data`.
+        """Yield each frame that `data` completes.
 
         Raises:
-            FrameError: the bytes are too many, no msgpack, or no message of ours.
+            FrameError: the bytes exceed a limit, or are not a valid frame.
 
         """
         try:
--- a/wagtailcleat/wire/inbound.py
+++ b/wagtailcleat/wire/inbound.py
@@ -1,4 +1,4 @@
-"""Calls of the peer that this side of a stream serves."""
+"""Calls that the peer makes on a stream and this side serves."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -8,7 +8,7 @@
 
 from wagtailcleat.errors import Code, FrameError
 from wagtailcleat.logs import part_logger
-from wagtailcleat.wire.frames import Frame, Kind
+from wagtailcleat.wire.frames import Frame, FrameKind
 from wagtailcleat.wire.limits import MAX_CALLS_PER_STREAM
 from wagtailcleat.wire.messages import AnyMessage
 from wagtailcleat.wire.outlet import Outlet
@@ -19,135 +19,140 @@
 
 log = part_logger("wire")
 
-MAX_PARTIAL_BYTES = 64 * 1024 * 1024
+MAX_INCOMPLETE_BYTES = 64 * 1024 * 1024
+"""Limit of the bytes held for the incomplete bodies of one stream."""
 
 CallHandler = Callable[[AnyMessage, Outlet], Awaitable[AnyMessage]]
 
 
 @dataclass
-class _Partial:
-    """A call whose body is still arriving."""
+class _IncompleteCall:
+    """A call whose body has not arrived completely."""
 
     message: ServiceRequest
-    pieces: list[bytes] = field(default_factory=list)
+    parts: list[bytes] = field(default_factory=list)
 
 
 @dataclass
-class _Served:
-    """A call whose handler runs."""
+class _RunningCall:
+    """A call whose handler is running."""
 
     task: asyncio.Task[None]
     outlet: Outlet
 
 
 class InboundCalls:
-    """Reassembles the bodies of calls, and serves each call in a task of its own."""
+    """Reassembles the bodies of calls, and serves each call in its own task."""
 
     def __init__(self, writer: FrameWriter) -> None:
-        """Send answers by `writer`."""
+        """Send answers through `writer`."""
         self._writer = writer
-        self._last_accepted = 0
-        self._leaving = False
-        self._served_by_call: dict[int, _Served] = {}
-        self._partial_by_call: dict[int, _Partial] = {}
-        self._partial_bytes = 0
+        self._last_accepted_id = 0
+        self._goaway_sent = False
+        self._running_by_id: dict[int, _RunningCall] = {}
+        self._incomplete_by_id: dict[int, _IncompleteCall] = {}
+        self._incomplete_bytes = 0
         writer.on_close(self._close)
 
     @property
-    def serving(self) -> int:
+    def open_count(self) -> int:
         """How many calls are still being received or answered."""
-        return len(self._served_by_call) + len(self._partial_by_call)
+        return len(self._running_by_id) + len(self._incomplete_by_id)
 
     def go_away(self) -> None:
-        """Accept no further call; tell the peer which one was the last."""
-        self._leaving = True
-        self._writer.write(Frame(Kind.AWAY, self._last_accepted))
+        """Accept no further call, and send the peer the id of the last accepted one."""
+        self._goaway_sent = True
+        self._writer.write(Frame(FrameKind.GOAWAY, self._last_accepted_id))
 
-    def receive(self, call: int, message: AnyMessage, handler: CallHandler) -> None:
-        """Accept a call and serve it with `handler`, unless this side is leaving.
+    def receive_call(
+        self, call_id: int, message: AnyMessage, handler: CallHandler
+    ) -> None:
+        """Accept a call and serve it with `handler`; ignore it after `go_away`.
 
         Raises:
-            FrameError: the number of the call is in use.
+            FrameError: the call id is in use.
 
         """
-        if call in self._served_by_call or call in self._partial_by_call:
+        if call_id in self._running_by_id or call_id in self._incomplete_by_id:
             raise FrameError("a call number used twice")
-        if self._leaving:
+        if self._goaway_sent:
             return
-        self._last_accepted = max(self._last_accepted, call)
+        self._last_accepted_id = max(self._last_accepted_id, call_id)
         if isinstance(message, ServiceRequest) and message.parts:
-            self._partial_by_call[call] = _Partial(message)
+            self._incomplete_by_id[call_id] = _IncompleteCall(message)
         else:
-            self._serve(call, message, handler)
+            self._serve(call_id, message, handler)
 
-    def receive_body(
-        self, call: int, message: AnyMessage, handler: CallHandler
+    def receive_part(
+        self, call_id: int, message: AnyMessage, handler: CallHandler
     ) -> None:
         """Add a part to a call's body; serve the call once the body is complete."""
-        partial = self._partial_by_call.get(call)
-        if partial is None:
+        incomplete = self._incomplete_by_id.get(call_id)
+        if incomplete is None:
             return
         if isinstance(message, Part):
-            self._add_piece(call, partial, message.data)
+            self._add_part(call_id, incomplete, message.data)
             return
-        self._drop_partial(call)
+        self._drop_incomplete(call_id)
         if isinstance(message, PartsEnd) and message.whole:
-            body = b"".join(partial.pieces)
-            whole = msgspec.structs.replace(partial.message, body=body, parts=False)
-            self._serve(call, whole, handler)
-
-    def _add_piece(self, call: int, partial: _Partial, data: bytes) -> None:
-        partial.pieces.append(data)
-        self._partial_bytes += len(data)
-        if self._partial_bytes > MAX_PARTIAL_BYTES:
-            self._drop_partial(call)
-            self._refuse(call, "too many large bodies at once")
-
-    def _drop_partial(self, call: int) -> None:
-        partial = self._partial_by_call.pop(call, None)
-        if partial is not None:
-            self._partial_bytes -= sum(len(piece) for piece in partial.pieces)
-
-    def grant(self, call: int) -> None:
-        """Let the answer of `call` send further parts."""
-        served = self._served_by_call.get(call)
-        if served is not None:
-            served.outlet.grant()
-
-    def cancel(self, call: int) -> None:
-        """Stop receiving or serving `call`."""
-        self._drop_partial(call)
-        served = self._served_by_call.get(call)
-        if served is not None:
-            served.task.cancel()
+            body = b"".join(incomplete.parts)
+            whole = msgspec.structs.replace(incomplete.message, body=body, parts=False)
+            self._serve(call_id, whole, handler)
+
+    def _add_part(self, call_id: int, incomplete: _IncompleteCall, data: bytes) -> None:
+        incomplete.parts.append(data)
+        self._incomplete_bytes += len(data)
+        if self._incomplete_bytes > MAX_INCOMPLETE_BYTES:
+            self._drop_incomplete(call_id)
+            self._refuse(call_id, "too many large bodies at once")
+
+    def _drop_incomplete(self, call_id: int) -> None:
+        incomplete = self._incomplete_by_id.pop(call_id, None)
+        if incomplete is not None:
+            self._incomplete_bytes -= sum(len(part) for part in incomplete.parts)
+
+    def widen_window(self, call_id: int) -> None:
+        """Let the answer to a call send further parts."""
+        running = self._running_by_id.get(call_id)
+        if running is not None:
+            running.outlet.widen_window()
+
+    def cancel(self, call_id: int) -> None:
+        """Stop receiving or serving a call."""
+        self._drop_incomplete(call_id)
+        running = self._running_by_id.get(call_id)
+        if running is not None:
+            running.task.cancel()
 
     def _close(self, _reason: str) -> None:
-        for served in self._served_by_call.values():
-            served.task.cancel()
-        self._partial_by_call.clear()
+        for running in self._running_by_id.values():
+            running.task.cancel()
+        self._incomplete_by_id.clear()
 
-    def _refuse(self, call: int, reason: str) -> None:
+    def _refuse(self, call_id: int, reason: str) -> None:
         refusal = Refused(Code.UNAVAILABLE.value, reason)
-        self._writer.write(Frame(Kind.REPLY, call, refusal))
+        self._writer.write(Frame(FrameKind.REPLY, call_id, refusal))
 
-    def _serve(self, call: int, message: AnyMessage, handler: CallHandler) -> None:
-        if len(self._served_by_call) >= MAX_CALLS_PER_STREAM:
-            self._refuse(call, "too many calls on this stream")
+    def _serve(self, call_id: int, message: AnyMessage, handler: CallHandler) -> None:
+        if len(self._running_by_id) >= MAX_CALLS_PER_STREAM:
+            self._refuse(call_id, "too many calls on this stream")
             return
-        outlet = Outlet(self._writer, call)
-        task = asyncio.create_task(self._run(call, message, handler, outlet))
-        self._served_by_call[call] = _Served(task, outlet)
-        task.add_done_callback(lambda _: self._served_by_call.pop(call, None))
+        outlet = Outlet(self._writer, call_id)
+        task = asyncio.create_task(self._run(call_id, message, handler, outlet))
+        self._running_by_id[call_id] = _RunningCall(task, outlet)
+        task.add_done_callback(lambda _: self._running_by_id.pop(call_id, None))
 
     async def _run(
-        self, call: int, message: AnyMessage, handler: CallHandler, outlet: Outlet
+        self, call_id: int, message: AnyMessage, handler: CallHandler, outlet: Outlet
     ) -> None:
         try:
             reply = await handler(message, outlet)
             if isinstance(reply, Answer) and len(reply.body) > PART_BYTES:
-                reply = await outlet.answer(reply)
+                reply = await outlet.send_answer(reply)
         except Exception:
-            log.exception("A call failed", extra={"call": type(message).__name__})
+            log.exception(
+                "The handler of a call failed", extra={"call": type(message).__name__}
+            )
             reply = Refused(Code.INTERNAL.value, "the call failed here; see the log")
-        kind = Kind.PART if isinstance(reply, PartsEnd) else Kind.REPLY
-        self._writer.write(Frame(kind, call, reply))
+        kind = FrameKind.PART if isinstance(reply, PartsEnd) else FrameKind.REPLY
+        self._writer.write(Frame(kind, call_id, reply))
--- a/wagtailcleat/wire/peers.py
+++ b/wagtailcleat/wire/peers.py
@@ -1,7 +1,7 @@
-"""Opening streams: the hello of both sides, the listener, and the streams opened here.
+"""The handshake of streams, the listener, and the pool of streams opened here.
 
-Either side shows the cluster secret by a MAC over both fresh nonces, and never sends
-it.
+Both sides prove knowledge of the cluster secret by a MAC over both nonces, and never
+send the secret.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 from wagtailcleat.errors import HelloError, StreamError
 from wagtailcleat.ids import Incarnation, NodeId
 from wagtailcleat.logs import part_logger
-from wagtailcleat.wire.frames import Frame, FrameReader, Kind, encode
+from wagtailcleat.wire.frames import Frame, FrameKind, FrameReader, encode
 from wagtailcleat.wire.handshake import PROTOCOL_VERSION, Hello, Proof, Role
 from wagtailcleat.wire.limits import StreamTiming
 from wagtailcleat.wire.messages import AnyMessage
@@ -29,11 +29,12 @@
 NONCE_BYTES = 16
 MAX_HELLO_BYTES = 65_536
 MAX_STREAMS = 4096
+"""Limit of the streams that a listener holds, with those in the handshake."""
 
 
 @dataclass(frozen=True)
 class Identity:
-    """Who this process is towards its peers; the secret is never sent."""
+    """Identity of this process in handshakes; the cluster secret is never sent."""
 
     node: NodeId
     role: Role
@@ -41,58 +42,60 @@
     secret: str
 
 
-def _mac(secret: str, side: str, mine: Hello, other: Hello) -> bytes:
+def _mac(secret: str, side: str, own_hello: Hello, other_hello: Hello) -> bytes:
     text = b"|".join(
         [
             side.encode(),
-            mine.node.encode(),
-            mine.role.value.encode(),
-            str(mine.incarnation).encode(),
-            mine.nonce,
-            other.node.encode(),
-            other.nonce,
+            own_hello.node.encode(),
+            own_hello.role.value.encode(),
+            str(own_hello.incarnation).encode(),
+            own_hello.nonce,
+            other_hello.node.encode(),
+            other_hello.nonce,
         ]
     )
     return hmac.digest(secret.encode(), text, "sha256")
 
 
 async def _read_message(
-    connection: IOStream, reader: FrameReader, ready: list[Frame]
+    connection: IOStream, reader: FrameReader, frames: list[Frame]
 ) -> AnyMessage | None:
     received = 0
-    while not ready:
+    while not frames:
         data = await connection.read_bytes(READ_BYTES, partial=True)
-        # Whoever has not shown the secret yet makes this process hold little.
+        # A peer that has not proved the secret may make this process hold little.
         received += len(data)
         if received > MAX_HELLO_BYTES:
             raise HelloError("the hello is too long")
-        ready.extend(reader.feed(data))
-    return ready.pop(0).message
+        frames.extend(reader.feed(data))
+    return frames.pop(0).message
 
 
-async def _shake(
+async def _handshake(
     connection: IOStream, identity: Identity, side: str, reader: FrameReader
 ) -> tuple[Hello, list[Frame]]:
     other_side = "accepting" if side == "opening" else "opening"
-    mine = Hello(
+    own_hello = Hello(
         PROTOCOL_VERSION,
         identity.node,
         identity.role,
         identity.incarnation,
         os.urandom(NONCE_BYTES),
     )
-    ready: list[Frame] = []
-    await connection.write(encode(Frame(Kind.CALL, 0, mine)))
-    theirs = await _read_message(connection, reader, ready)
-    if not isinstance(theirs, Hello) or theirs.version != PROTOCOL_VERSION:
+    frames: list[Frame] = []
+    await connection.write(encode(Frame(FrameKind.CALL, 0, own_hello)))
+    peer_hello = await _read_message(connection, reader, frames)
+    if not isinstance(peer_hello, Hello) or peer_hello.version != PROTOCOL_VERSION:
         raise HelloError("the peer speaks another version")
-    proof = Proof(_mac(identity.secret, side, mine, theirs))
-    await connection.write(encode(Frame(Kind.CALL, 0, proof)))
-    shown = await _read_message(connection, reader, ready)
-    expected = _mac(identity.secret, other_side, theirs, mine)
-    if not isinstance(shown, Proof) or not hmac.compare_digest(shown.mac, expected):
+    proof = Proof(_mac(identity.secret, side, own_hello, peer_hello))
+    await connection.write(encode(Frame(FrameKind.CALL, 0, proof)))
+    peer_proof = await _read_message(connection, reader, frames)
+    expected = _mac(identity.secret, other_side, peer_hello, own_hello)
+    if not isinstance(peer_proof, Proof) or not hmac.compare_digest(
+        peer_proof.mac, expected
+    ):
         raise HelloError("the peer does not know the cluster secret")
-    return theirs, ready
+    return peer_hello, frames
 
 
 class Listener(TCPServer):
@@ -101,42 +104,48 @@
     def __init__(
         self, identity: Identity, handler: Handler, timing: StreamTiming
     ) -> None:
-        """Serve inbound calls with `handler`."""
+        """Serve inbound calls with `handler`; each stream uses `timing`."""
         super().__init__()
         self.streams: set[Stream] = set()
         self.closed_bytes = 0
-        self._shaking = 0
+        self._handshake_count = 0
         self._identity = identity
         self._handler = handler
         self._timing = timing
 
     async def handle_stream(self, stream: IOStream, address: object) -> None:
-        """Prove the hello, then serve the connection until it ends."""
-        if self._shaking + len(self.streams) >= MAX_STREAMS:
-            log.warning("Too many streams", extra={"from": str(address)})
+        """Complete the handshake, then serve the connection until it ends."""
+        if self._handshake_count + len(self.streams) >= MAX_STREAMS:
+            log.warning(
+                "Refused a connection: too many streams are open",
+                extra={"from": str(address)},
+            )
             stream.close()
             return
         stream.set_nodelay(True)
         reader = FrameReader()
-        self._shaking += 1
+        self._handshake_count += 1
         try:
-            shake = _shake(stream, self._identity, "accepting", reader)
-            hello, early = await asyncio.wait_for(shake, self._timing.connect)
+            handshake = _handshake(stream, self._identity, "accepting", reader)
+            hello, early_frames = await asyncio.wait_for(
+                handshake, self._timing.connect
+            )
         except (TimeoutError, StreamError, StreamClosedError) as error:
             log.warning(
-                "Refused a stream", extra={"from": str(address), "why": str(error)}
+                "Refused a connection: the handshake failed",
+                extra={"from": str(address), "why": str(error)},
             )
             stream.close()
             return
         finally:
-            self._shaking -= 1
+            self._handshake_count -= 1
         opened = Stream(
             stream,
             hello,
             handler=self._handler,
             timing=self._timing,
             reader=reader,
-            early=early,
+            early_frames=early_frames,
             opened_here=False,
         )
         self.streams.add(opened)
@@ -147,7 +156,7 @@
             self.streams.discard(opened)
 
     def close_older(self, stream: Stream) -> None:
-        """Close the streams that the peer of `stream` opened before it."""
+        """Close the streams that the peer of `stream` opened before `stream`."""
         for other in list(self.streams):
             same_peer = (other.peer, other.peer_incarnation) == (
                 stream.peer,
@@ -158,12 +167,12 @@
 
 
 class Peers:
-    """Streams this process opened, one per address, opened when first needed."""
+    """Pool of streams to peers: one per address, opened by this process on demand."""
 
     def __init__(
         self, identity: Identity, handler: Handler, timing: StreamTiming
     ) -> None:
-        """Open with `identity`; calls that peers make back go to `handler`."""
+        """Open streams as `identity`; serve the peers' calls on them by `handler`."""
         self._identity = identity
         self._handler = handler
         self._timing = timing
@@ -171,12 +180,12 @@
         self._opening_by_address: dict[
             tuple[str, int], asyncio.Task[Stream | Lost]
         ] = {}
-        self._runs: set[asyncio.Task[None]] = set()
+        self._run_tasks: set[asyncio.Task[None]] = set()
         self.closed_bytes = 0
 
     @property
     def streams(self) -> list[Stream]:
-        """All streams open now."""
+        """All streams that are open."""
         return list(self._stream_by_address.values())
 
     async def call(
@@ -188,14 +197,17 @@
         timeout: float,
         parts: Parts | None = None,
     ) -> AnyMessage | Lost:
-        """Call the peer at `host`:`port`, opening a stream where none is open."""
+        """Call the peer at `host`:`port`, on an open stream or a new one.
+
+        Returns as `Stream.call` does; `Lost` also if no stream could be opened.
+        """
         stream = await self.stream(host, port)
         if isinstance(stream, Lost):
             return stream
         return await stream.call(message, timeout=timeout, parts=parts)
 
     async def stream(self, host: str, port: int) -> Stream | Lost:
-        """Return the open stream to an address, or open one."""
+        """Return the open stream to an address, or open one; `Lost` if that fails."""
         address = (host, port)
         stream = self._stream_by_address.get(address)
         if stream is not None and stream.usable:
@@ -213,7 +225,7 @@
         """Close every stream."""
         for stream in self.streams:
             stream.close("this process ends")
-        for task in self._runs:
+        for task in self._run_tasks:
             task.cancel()
 
     async def _open(self, address: tuple[str, int]) -> Stream | Lost:
@@ -221,12 +233,12 @@
         connection: IOStream | None = None
         try:
             async with asyncio.timeout(self._timing.connect):
-                # Addresses are IP numbers: resolving blocks nothing, needs no thread.
+                # Addresses are numeric: resolving does not block and needs no thread.
                 connection = await TCPClient(resolver=BlockingResolver()).connect(
                     *address
                 )
                 connection.set_nodelay(True)
-                hello, early = await _shake(
+                hello, early_frames = await _handshake(
                     connection, self._identity, "opening", reader
                 )
         except (StreamError, StreamClosedError, OSError, TimeoutError) as error:
@@ -239,13 +251,13 @@
             handler=self._handler,
             timing=self._timing,
             reader=reader,
-            early=early,
+            early_frames=early_frames,
             opened_here=True,
         )
         self._stream_by_address[address] = stream
         task = asyncio.create_task(self._run(address, stream))
-        self._runs.add(task)
-        task.add_done_callback(self._runs.discard)
+        self._run_tasks.add(task)
+        task.add_done_callback(self._run_tasks.discard)
         return stream
 
     async def _run(self, address: tuple[str, int], stream: Stream) -> None:
--- a/wagtailcleat/wire/streams.py
+++ b/wagtailcleat/wire/streams.py
@@ -1,8 +1,8 @@
 """Streams between the project's processes: concurrent calls on one connection.
 
-One task reads each connection, and each inbound call runs in a task of its own. Large
-bodies are sent in parts, so that other calls do not wait behind them.
-When a stream ends, the outcome of its open calls is unknown and they return `Lost`.
+One task reads each connection, and each inbound call runs in its own task. Large bodies
+are sent in parts, so that other calls do not wait for them. When a stream ends, the
+outcome of its open calls is unknown, and they return `Lost`.
 """
 
 import asyncio
@@ -12,7 +12,7 @@
 
 from wagtailcleat.errors import FrameError
 from wagtailcleat.logs import part_logger
-from wagtailcleat.wire.frames import Frame, FrameReader, Kind
+from wagtailcleat.wire.frames import Frame, FrameKind, FrameReader
 from wagtailcleat.wire.handshake import Hello
 from wagtailcleat.wire.inbound import InboundCalls
 from wagtailcleat.wire.keepalive import Keepalive
@@ -42,14 +42,15 @@
         handler: Handler,
         timing: StreamTiming,
         reader: FrameReader,
-        early: list[Frame],
+        early_frames: list[Frame],
         opened_here: bool,
     ) -> None:
         """Use `connection` after the handshake; `hello` is the peer's.
 
-        Parameters: `early` are frames received together with the peer's proof.
+        Parameters: `early_frames` arrived together with the peer's proof; `opened_here`
+        is whether this side opened the connection, and so closes it when idle.
         """
-        self._early = early
+        self._early_frames = early_frames
         self.peer = hello.node
         self.peer_role = hello.role
         self.peer_incarnation = hello.incarnation
@@ -58,7 +59,7 @@
         self._connection = connection
         self._reader = reader
         self._handler = handler
-        self._peer_leaves = False
+        self._goaway_received = False
         self._writer = FrameWriter(connection)
         self._outbound = OutboundCalls(self._writer)
         self._inbound = InboundCalls(self._writer)
@@ -68,7 +69,9 @@
 
     def __repr__(self) -> str:
         """Show the peer and the calls in flight."""
-        return f"<Stream to {self.peer}: {self._outbound.unanswered} calls waiting>"
+        return (
+            f"<Stream to {self.peer}: {self._outbound.unanswered_count} calls waiting>"
+        )
 
     @property
     def closed(self) -> bool:
@@ -81,33 +84,33 @@
         return self._writer.bytes_out
 
     @property
-    def waiting(self) -> int:
+    def pending_count(self) -> int:
         """How many answers, or further parts of answers, are awaited."""
-        return self._outbound.waiting
+        return self._outbound.pending_count
 
     @property
-    def serving(self) -> int:
+    def inbound_count(self) -> int:
         """How many calls of the peer are still being received or answered."""
-        return self._inbound.serving
+        return self._inbound.open_count
 
     @property
     def usable(self) -> bool:
         """Whether a new call may be sent."""
-        return not (self.closed or self._peer_leaves)
+        return not (self.closed or self._goaway_received)
 
     def go_away(self) -> None:
         """Accept no further call; the peer closes once it has all its answers.
 
-        Calls may be in transit while this process ends. From the number of the last
-        call accepted, the peer knows which of them were not run. The peer closes, since
-        data that arrives after a close resets the connection, and a reset discards
-        answers not yet read.
+        Calls may be in transit while this process ends. From the id of the last
+        accepted call, the peer knows which of them were not run. The peer closes the
+        connection, since data that arrives after a close resets it, and a reset
+        discards answers not yet read.
         """
         self._inbound.go_away()
 
     async def run(self) -> None:
-        """Read until the connection ends; open calls then end as `Lost`."""
-        self._keepalive.received(asyncio.get_running_loop().time())
+        """Read until the connection ends; open calls then return `Lost`."""
+        self._keepalive.record_received(asyncio.get_running_loop().time())
         keepalive = asyncio.create_task(self._keepalive.run())
         reason = "the connection ended"
         try:
@@ -116,13 +119,16 @@
             pass
         except FrameError as error:
             reason = error.message
-            log.warning("Closed a stream", extra={"peer": self.peer, "why": reason})
+            log.warning(
+                "Closed a stream after an invalid frame",
+                extra={"peer": self.peer, "why": reason},
+            )
         finally:
             keepalive.cancel()
             self.close(reason)
 
     def close(self, reason: str) -> None:
-        """Close the connection and end every call."""
+        """Close the connection and end all calls."""
         self._writer.close(reason)
 
     async def call(
@@ -130,66 +136,67 @@
     ) -> AnyMessage | Lost:
         """Send `message` and return the peer's answer, or `Lost`.
 
-        Parameters: `timeout` in seconds; `parts` receives the parts of the answer.
-        Without it an answer in parts is reassembled, and `Lost` if it is incomplete.
+        Parameters: `timeout` is in seconds; `parts` receives the parts of the answer.
+        Without `parts`, an answer in parts is reassembled; if it stays incomplete, the
+        result is `Lost`.
         """
         if not self.usable:
             return Lost(False, "the stream takes no more calls")
-        if self._outbound.full:
+        if self._outbound.is_full:
             return Lost(False, "too many calls wait on the stream")
-        self._keepalive.called(asyncio.get_running_loop().time())
+        self._keepalive.record_call(asyncio.get_running_loop().time())
         try:
             return await self._outbound.call(message, timeout=timeout, parts=parts)
         finally:
-            self._close_if_left()
+            self._close_if_drained()
 
     def cancel_parts(self, parts: Parts) -> None:
-        """Cancel the call whose answer still arrives as `parts`."""
+        """Cancel the call whose answer is still arriving as `parts`."""
         self._outbound.cancel_parts(parts)
 
     async def _read(self) -> None:
         loop = asyncio.get_running_loop()
-        for frame in self._early:
+        for frame in self._early_frames:
             self._receive(frame)
         while True:
             data = await self._connection.read_bytes(READ_BYTES, partial=True)
-            self._keepalive.received(loop.time())
+            self._keepalive.record_received(loop.time())
             self.bytes_in += len(data)
             for frame in self._reader.feed(data):
                 self._receive(frame)
 
     def _receive(self, frame: Frame) -> None:
-        # Frames read together with the one that closed the stream must not be served:
-        # after a close, no further call may run.
+        # Frames read together with the one that closed the stream are ignored, since no
+        # call may start after a close.
         if self.closed:
             return
         if frame.message is None:
-            self._control(frame)
-        elif frame.kind is Kind.CALL:
-            self._inbound.receive(frame.call, frame.message, self._handle)
-        elif frame.kind is Kind.REPLY:
-            self._outbound.answered(frame.call, frame.message)
-        elif frame.kind is Kind.PART:
-            if self._outbound.add_part(frame.call, frame.message):
-                self._close_if_left()
-        elif frame.kind is Kind.BODY:
-            self._inbound.receive_body(frame.call, frame.message, self._handle)
+            self._receive_control(frame)
+        elif frame.kind is FrameKind.CALL:
+            self._inbound.receive_call(frame.call_id, frame.message, self._handle)
+        elif frame.kind is FrameKind.REPLY:
+            self._outbound.receive_answer(frame.call_id, frame.message)
+        elif frame.kind is FrameKind.PART:
+            if self._outbound.receive_part(frame.call_id, frame.message):
+                self._close_if_drained()
+        elif frame.kind is FrameKind.BODY:
+            self._inbound.receive_part(frame.call_id, frame.message, self._handle)
 
     def _handle(self, message: AnyMessage, outlet: Outlet) -> Awaitable[AnyMessage]:
         return self._handler(self, message, outlet)
 
-    def _control(self, frame: Frame) -> None:
-        if frame.kind is Kind.PING:
-            self._writer.write(Frame(Kind.PONG, frame.call))
-        elif frame.kind is Kind.AWAY:
-            self._peer_leaves = True
-            self._outbound.end_after(frame.call)
-            self._close_if_left()
-        elif frame.kind is Kind.MORE:
-            self._inbound.grant(frame.call)
-        elif frame.kind is Kind.CANCEL:
-            self._inbound.cancel(frame.call)
-
-    def _close_if_left(self) -> None:
-        if self._peer_leaves and not self.waiting:
+    def _receive_control(self, frame: Frame) -> None:
+        if frame.kind is FrameKind.PING:
+            self._writer.write(Frame(FrameKind.PONG, frame.call_id))
+        elif frame.kind is FrameKind.GOAWAY:
+            self._goaway_received = True
+            self._outbound.fail_after(frame.call_id)
+            self._close_if_drained()
+        elif frame.kind is FrameKind.WINDOW_UPDATE:
+            self._inbound.widen_window(frame.call_id)
+        elif frame.kind is FrameKind.CANCEL:
+            self._inbound.cancel(frame.call_id)
+
+    def _close_if_drained(self) -> None:
+        if self._goaway_received and not self.pending_count:
             self.close("the peer has left")
--- a/wagtailcleat/wire/writer.py
+++ b/wagtailcleat/wire/writer.py
@@ -9,13 +9,14 @@
 from wagtailcleat.wire.frames import Frame, encode
 
 MAX_UNSENT_BYTES = 32 * 1024 * 1024
+"""Buffered bytes above which the connection of a slow reader is closed."""
 DRAIN_ABOVE_BYTES = 256 * 1024
 
 
 class FrameWriter:
-    """Writes frames; those of one pass of the event loop share a write.
+    """Writes frames; those of one iteration of the event loop share a write.
 
-    A write per frame would cost more processor time than the rest of its handling.
+    One write per frame would cost more processor time than all else done for the frame.
     """
 
     def __init__(self, connection: IOStream) -> None:
@@ -42,7 +43,10 @@
         self._on_close.clear()
 
     def write(self, frame: Frame) -> None:
-        """Write a frame at the end of this pass of the event loop."""
+        """Buffer a frame; it is written at the next iteration of the event loop.
+
+        Closes the connection if more than `MAX_UNSENT_BYTES` are buffered.
+        """
         if self.closed:
             return
         data = encode(frame)
@@ -54,7 +58,7 @@
             self.close("the peer reads too slowly")
 
     async def drain(self) -> None:
-        """Wait until the buffers are empty, if they hold much."""
+        """Wait until the buffers are empty if they exceed `DRAIN_ABOVE_BYTES`."""
         if self._unsent_bytes + self._buffered() > DRAIN_ABOVE_BYTES:
             self._flush()
             with contextlib.suppress(StreamClosedError):
@@ -76,6 +80,6 @@
             self.close("the peer reads too slowly")
 
     def _buffered(self) -> int:
-        # A write that fails closes the connection, which drops its buffer.
+        # A failed write closes the connection, which discards its buffer.
         buffer = self._connection._write_buffer
         return len(buffer) if buffer is not None else 0
