--- a/features/steps/bad_input_steps.py
+++ b/features/steps/bad_input_steps.py
@@ -1,4 +1,4 @@
-"""Steps on bad input: fuzzed requests and frames, slow and greedy callers."""
+"""Steps on bad input: fuzzed requests and frames, and callers that exceed limits."""
 
 import asyncio
 import itertools
@@ -20,18 +20,18 @@
 from wagtailcleat.wire.parts import Lost
 from wagtailcleat.wire.results import Refused
 
-PATIENCE = 15
-AT_ONCE = 40
+TIMEOUT_SECONDS = 15
+CONCURRENCY = 40
 MAX_CONNECTIONS = 60
-MAX_BODY = 100_000
-GOOD = "/services/booking-core/good"
+MAX_BODY_BYTES = 100_000
+VALID_PATH = "/services/booking-core/good"
 SETTINGS = {
-    "max_body_bytes": MAX_BODY,
+    "max_body_bytes": MAX_BODY_BYTES,
     "max_connections": MAX_CONNECTIONS,
     "idle_connection": 2.0,
     "slow_body": 0.5,
 }
-PARTS = [
+REQUESTS = [
     b"GET /services/booking-core/x HTTP/1.1\r\nHost: e\r\n\r\n",
     b"POST /services/booking-core/x HTTP/1.1\r\nHost: e\r\n"
     b"Content-Length: 4\r\nIdempotency-Key: agent-vm-1.1.e.1.k1.0\r\n\r\nhold",
@@ -44,13 +44,24 @@
     b'{"id": [1,2]}',
     b"GET /health HTTP/1.1\r\nHost: e\r\nWagtailcleat-Deadline-Ms: 10\r\n\r\n",
 ]
-# No msgpack value begins with this byte; enough of them to fill a cut value first.
-NEVER_USED = b"\xc1" * 70_000
-ODD = [b"\0", b"\r\n", b"\xff\xfe", b" ", b"%zz", b"-1", b"9" * 30, b":", b"{" * 200]
+# No msgpack value begins with this byte. There are enough of them to complete a
+# truncated value first, so that decoding then fails for sure.
+INVALID_BYTES = b"\xc1" * 70_000
+ODD_BYTES = [
+    b"\0",
+    b"\r\n",
+    b"\xff\xfe",
+    b" ",
+    b"%zz",
+    b"-1",
+    b"9" * 30,
+    b":",
+    b"{" * 200,
+]
 
 
 def mutated(rng, message):
-    """Return `message` with some bytes changed, cut out, repeated or blown up."""
+    """Return `message` with some bytes changed, removed, inserted or repeated."""
     data = bytearray(message)
     for _ in range(rng.randint(1, 4)):
         at = rng.randrange(len(data) + 1)
@@ -60,7 +71,7 @@
         elif choice == 1:
             del data[at : at + rng.randint(1, 8)]
         elif choice == 2:
-            data[at:at] = rng.choice(ODD)
+            data[at:at] = rng.choice(ODD_BYTES)
         elif choice == 3:
             data[at:at] = data[: rng.randint(0, 60)]
         elif rng.random() < 0.1:
@@ -71,37 +82,37 @@
 @given("the feature's small deployment with short bounds for slow callers")
 def step_cluster(context):
     if "cluster" not in context.feature.__dict__:
-        context.feature.cluster = start(context)
+        context.feature.cluster = start_cluster(context)
     context.cluster = context.feature.cluster
     context.port = context.cluster.entry.ready["http_port"]
     context.agent = context.cluster.agent_by_vm["vm-1"]
-    context.before = [(p, p.pid, p.rss_mb()) for p in programs(context)]
+    context.processes_before = [(p, p.pid, p.rss_mb()) for p in processes(context)]
 
 
-def start(context):
+def start_cluster(context):
     vm = VmOptions("vm-1", "zilina-a", "rack-a1")
     service = ServiceOptions(slots=64, queue=256)
     cluster = Cluster([vm], [service], 1, entry_settings=SETTINGS)
     context.add_cleanup(cluster.close, layer="feature")
     assert cluster.apply().status == 200
-    good = f"http://127.0.0.1:{cluster.entry.ready['http_port']}{GOOD}"
-    wait_for(lambda: http("GET", good).status == 200, PATIENCE, "it serves")
+    good = f"http://127.0.0.1:{cluster.entry.ready['http_port']}{VALID_PATH}"
+    wait_for(lambda: http("GET", good).status == 200, TIMEOUT_SECONDS, "it serves")
     return cluster
 
 
-def programs(context):
+def processes(context):
     return [context.cluster.entry, context.agent]
 
 
-def with_good_calls(context, fuzz):
-    """Run `fuzz` while a caller makes good calls; return what `fuzz` returns."""
-    context.good = []
+def with_valid_requests(context, fuzz):
+    """Run `fuzz` while a caller makes valid requests; return what `fuzz` returns."""
+    context.valid_answers = []
     done = threading.Event()
 
     def call():
         caller = Caller(context.cluster.entry)
         while not done.is_set():
-            context.good.append(caller.call("GET", GOOD))
+            context.valid_answers.append(caller.call("GET", VALID_PATH))
             done.wait(0.01)
         caller.close()
 
@@ -115,28 +126,28 @@
 
 
 async def in_parallel(count, act):
-    """Run `act(number)` for each number up to `count`, some at once."""
+    """Return the results of `act(number)` for `count` numbers, run concurrently."""
     numbers = iter(range(count))
 
-    async def some():
+    async def worker():
         return [await act(number) for number in numbers]
 
-    lists = await asyncio.gather(*(some() for _ in range(AT_ONCE)))
+    lists = await asyncio.gather(*(worker() for _ in range(CONCURRENCY)))
     return [item for items in lists for item in items]
 
 
 async def send_raw(port, message):
-    """Send bytes and the end of the stream; return all that comes back."""
+    """Send bytes and end the sending side; return all bytes received."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     try:
         writer.write(message)
         writer.write_eof()
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT_SECONDS):
             return await reader.read()
     except TimeoutError:
         raise
     except OSError:
-        # The other side has closed already, which shows as one of several errors.
+        # The entry or agent has already closed, which raises one of several errors.
         return b""
     finally:
         writer.close()
@@ -145,37 +156,37 @@
 @when("{count:d} fuzzed requests are sent to the callers' port")
 def step_fuzz_http(context, count):
     rng = random.Random("callers' port")
-    messages = [mutated(rng, rng.choice(PARTS)) for _ in range(count)]
+    messages = [mutated(rng, rng.choice(REQUESTS)) for _ in range(count)]
 
     async def act(number):
         return await send_raw(context.port, messages[number])
 
-    context.answers = with_good_calls(context, in_parallel(count, act))
+    context.answers = with_valid_requests(context, in_parallel(count, act))
 
 
 @then('each was answered as HTTP says, or its connection closed, and none as "{code}"')
 def step_http_answers(context, code):
-    odd = [a for a in context.answers if a and not a.startswith(b"HTTP/1.1 ")]
-    assert not odd, odd[:5]
+    invalid = [a for a in context.answers if a and not a.startswith(b"HTTP/1.1 ")]
+    assert not invalid, invalid[:5]
     internal = [a for a in context.answers if f'"{code}"'.encode() in a]
     assert not internal, internal[:5]
     assert sum(a.startswith(b"HTTP/1.1 4") for a in context.answers) > 1000
 
 
 @then("the good requests made meanwhile were all answered 200")
-def step_good(context):
-    bad = [seen for seen in context.good if seen.status != 200]
-    assert context.good and not bad, (len(context.good), bad[:5])
+def step_valid_answers(context):
+    bad = [answer for answer in context.valid_answers if answer.status != 200]
+    assert context.valid_answers and not bad, (len(context.valid_answers), bad[:5])
 
 
 @then("the processes are the same, grown by less than {mb:d} MB, with no error logged")
-def step_same(context, mb):
-    for process, pid, rss_mb in context.before:
+def step_processes(context, mb):
+    for process, pid, rss_mb in context.processes_before:
         assert process.alive and process.pid == pid, process.name
         assert process.rss_mb() < rss_mb + mb, (rss_mb, process.rss_mb())
         logged = process.stderr.read_text()
         assert "Traceback" not in logged, logged[logged.index("Traceback") :][:3000]
-    wait_for(lambda: idle(context), PATIENCE, "nothing is in flight")
+    wait_for(lambda: idle(context), TIMEOUT_SECONDS, "nothing is in flight")
 
 
 def idle(context):
@@ -184,12 +195,12 @@
     return state["requests_in_flight"] == 0 and watchers == 0
 
 
-def odd_frames(rng, incarnation):
-    """Return frames that decode, of things that nobody does."""
-    # Far from the numbers of the calls that the stream itself makes.
+def unusual_frames(rng, incarnation):
+    """Return frames that can be decoded, with values that no process sends."""
+    # Far from the ids of the calls that the stream itself makes.
     number = rng.choice([100, 7000, 2**63, -50])
-    asked = request(incarnation, f"fuzz.1.r{rng.randrange(10**9)}", "/odd")
-    odd = {
+    valid = request(incarnation, f"fuzz.1.r{rng.randrange(10**9)}", "/odd")
+    values = {
         "method": rng.choice(["G ET", "", "POST", "\r\n", "GET"]),
         "path": rng.choice(["", "/a b", "/\r\nX: y", "//", "/é", "/ok"]),
         "headers": [("a\r\nb", "c"), ("é", "ü"), ("x", "\0"), ("Accept", "*/*")],
@@ -197,7 +208,7 @@
         "parts": rng.random() < 0.2,
     }
     messages = [
-        msgspec.structs.replace(asked, **odd),
+        msgspec.structs.replace(valid, **values),
         settle(incarnation, rng.choice(["", "r", "...", "x" * 1000])),
         ["done"],
         ["part", b"zz"],
@@ -215,42 +226,43 @@
     incarnation = http("GET", f"{context.agent.url}/state").json()["incarnation"]
     encode = msgspec.msgpack.encode
     hello = encode([0, 0, ["hello", 1, "fuzz", "entry", 1, b"n" * 16]])
-    before = [mutated(rng, hello) for _ in range(count // 2)]
-    after = [odd_frames(rng, incarnation) for _ in range(count // 10)]
-    broken = [mutated(rng, encode(frames[0])) + NEVER_USED for frames in after]
+    hellos = [mutated(rng, hello) for _ in range(count // 2)]
+    unusual = [unusual_frames(rng, incarnation) for _ in range(count // 10)]
+    broken = [mutated(rng, encode(frames[0])) + INVALID_BYTES for frames in unusual]
 
     async def act(number):
-        if number < len(before):
-            await send_raw(port, before[number])
+        if number < len(hellos):
+            await send_raw(port, hellos[number])
             return True, True
-        number -= len(before)
+        number -= len(hellos)
         peer = Peer(f"fuzz-{number}", 1, port)
         stream = await peer.stream()
-        for frame in after[number]:
+        for frame in unusual[number]:
             stream._connection.write(encode(frame))
-        still = await stream.call(settle(incarnation, "fuzz.1.r1"), timeout=PATIENCE)
+        first = await stream.call(
+            settle(incarnation, "fuzz.1.r1"), timeout=TIMEOUT_SECONDS
+        )
         stream._connection.write(broken[number])
-        ended = await stream.call(settle(incarnation, "fuzz.1.r1"), timeout=PATIENCE)
+        last = await stream.call(
+            settle(incarnation, "fuzz.1.r1"), timeout=TIMEOUT_SECONDS
+        )
         peer.close()
-        return isinstance(still, Refused), isinstance(ended, Lost) or (still, ended)
+        return isinstance(first, Refused), isinstance(last, Lost) or (first, last)
 
-    total = len(before) + len(after)
-    context.streams = with_good_calls(context, in_parallel(total, act))
+    total = len(hellos) + len(unusual)
+    context.streams = with_valid_requests(context, in_parallel(total, act))
 
 
 @then("each stream with a broken frame was closed and no other")
 def step_streams(context):
-    odd = [pair for pair in context.streams if pair != (True, True)]
-    assert not odd, odd[:5]
-
+    wrong = [pair for pair in context.streams if pair != (True, True)]
+    assert not wrong, wrong[:5]
 
-# ---- slow and greedy callers
 
-
-def talk(context, data, end=False):
-    """Send bytes; return all that comes until the other side closes."""
+def send_until_closed(context, data, end=False):
+    """Send bytes; return all bytes received until the entry closes."""
     with socket.create_connection(("127.0.0.1", context.port)) as connection:
-        connection.settimeout(PATIENCE)
+        connection.settimeout(TIMEOUT_SECONDS)
         received = b""
         try:
             connection.sendall(data)
@@ -261,85 +273,82 @@
         return received
 
 
-@then("a caller that stops within its headers or its body is cut off")
+@then("a caller that stops within its headers or its body is disconnected")
 def step_slow(context):
-    assert talk(context, PARTS[0][:30]) == b""
-    assert talk(context, PARTS[1][:-2]) == b""
+    assert send_until_closed(context, REQUESTS[0][:30]) == b""
+    assert send_until_closed(context, REQUESTS[1][:-2]) == b""
 
 
-@then('a body over the bound is refused as "{code}", chunked or not')
+@then('a body over the limit is refused as "{code}", chunked or not')
 def step_too_large(context, code):
-    url = f"http://127.0.0.1:{context.port}{GOOD}"
-    answer = http("POST", url, b"x" * (MAX_BODY + 1))
+    url = f"http://127.0.0.1:{context.port}{VALID_PATH}"
+    answer = http("POST", url, b"x" * (MAX_BODY_BYTES + 1))
     assert answer.json()["code"] == code, answer
     chunked = {"Transfer-Encoding": "chunked"}
-    answer = http("POST", url, b"x" * (MAX_BODY + 1), chunked)
+    answer = http("POST", url, b"x" * (MAX_BODY_BYTES + 1), chunked)
     assert answer.json()["code"] == code, answer
-    assert http("POST", url, b"x" * MAX_BODY).status == 200
+    assert http("POST", url, b"x" * MAX_BODY_BYTES).status == 200
 
 
-@then("headers over the bound are refused")
+@then("headers over the limit are refused")
 def step_headers(context):
-    big = PARTS[0][:-2] + b"X: " + b"y" * 70_000 + b"\r\n\r\n"
-    answer = talk(context, big)
+    big = REQUESTS[0][:-2] + b"X: " + b"y" * 70_000 + b"\r\n\r\n"
+    answer = send_until_closed(context, big)
     assert answer == b"" or answer.startswith(b"HTTP/1.1 4"), answer[:200]
 
 
-@then('connections over the bound are refused as "{code}"')
+@then('connections over the limit are refused as "{code}"')
 def step_connections(context, code):
     address = ("127.0.0.1", context.port)
     held = [socket.create_connection(address) for _ in range(MAX_CONNECTIONS)]
-    answer = talk(context, b"")
+    answer = send_until_closed(context, b"")
     assert f'"{code}"'.encode() in answer, answer
     for connection in held:
         connection.close()
 
 
-# ---- strangers
-
-
-@then("a peer with another secret is turned away, with a log line")
+@then("a peer with another secret is refused, with a log line")
 def step_other_secret(context):
     port = context.agent.ready["peer_port"]
 
     async def call():
-        stranger = Peer("stranger", 1, port, "another secret than theirs")
-        return await stranger.open()
+        peer = Peer("stranger", 1, port, "another secret than theirs")
+        return await peer.open()
 
     assert isinstance(asyncio.run(call()), Lost)
     logged = "does not know the cluster secret"
     wait_for(
-        lambda: logged in context.agent.stderr.read_text(), PATIENCE, "it is logged"
+        lambda: logged in context.agent.stderr.read_text(),
+        TIMEOUT_SECONDS,
+        "it is logged",
     )
 
 
-@then("one that sends back what it was shown is turned away")
+@then("one that reflects all that it receives is refused")
 def step_reflected(context):
     port = context.agent.ready["peer_port"]
     with socket.create_connection(("127.0.0.1", port)) as connection:
-        connection.settimeout(PATIENCE)
-        shown = b""
+        connection.settimeout(TIMEOUT_SECONDS)
+        received = b""
         while chunk := connection.recv(65_536):
-            shown += chunk
+            received += chunk
             connection.sendall(chunk)
-    frames = list(FrameReader().feed(shown))
+    frames = list(FrameReader().feed(received))
     assert [type(frame.message).__name__ for frame in frames] == ["Hello", "Proof"]
 
 
-# ---- event streams
-
 LINE_ENDS = st.sampled_from([b"\n", b"\r\n", b"\r"])
 LINES = st.sampled_from([b"data: x", b": beat", b"id: 7", b"id:8", b"id", b"event: y"])
 
 
-@then("events come out whole and in order however their bytes are cut")
-def step_cut_events(context):
+@then("events are relayed complete and in order however their bytes are split")
+def step_split_events(context):
     events = st.lists(st.tuples(st.lists(LINES, min_size=1), LINE_ENDS), min_size=1)
 
     @settings(derandomize=True, deadline=None, database=None, max_examples=400)
     @given_data(events, st.lists(st.integers(1, 9), min_size=1))
-    def check(made, sizes):
-        texts = [end.join([*lines, b"", b""]) for lines, end in made]
+    def check(generated, sizes):
+        texts = [end.join([*lines, b"", b""]) for lines, end in generated]
         data = b"".join(texts)
         cutter, out, sizes = EventCutter("0"), [], itertools.cycle(sizes)
         at = 0
@@ -347,13 +356,17 @@
             size = next(sizes)
             out.append(cutter.feed(data[at : at + size]))
             at += size
-        # A CR at the very end may yet be followed by LF, so the last event may wait.
-        whole = b"".join(out) + cutter.feed(b":")
-        assert data.startswith(whole.removesuffix(b":"))
-        assert len(data) - len(whole) <= 1, (data, whole)
-        ids = [line[3:].strip() for lines, _ in made for line in lines if is_id(line)]
+        # A CR at the end may be followed by LF, so the last event may be held back.
+        relayed = b"".join(out) + cutter.feed(b":")
+        assert data.startswith(relayed.removesuffix(b":"))
+        assert len(data) - len(relayed) <= 1, (data, relayed)
+        ids = [
+            line[3:].strip() for lines, _ in generated for line in lines if is_id(line)
+        ]
         assert cutter.last_id.encode() == (ids[-1] if ids else b"0")
-        assert all(not piece or ends_whole(data, out, n) for n, piece in enumerate(out))
+        assert all(
+            not piece or ends_after_event(data, out, n) for n, piece in enumerate(out)
+        )
 
     check()
 
@@ -362,8 +375,8 @@
     return line.partition(b":")[0] == b"id"
 
 
-def ends_whole(data, out, number):
-    """Tell whether what came out so far ends after an event or a comment."""
+def ends_after_event(data, out, number):
+    """Return whether the output so far ends after an event or a comment."""
     done = b"".join(out[: number + 1])
     last = done.rstrip(b"\r\n").splitlines()[-1]
     return last.startswith(b":") or done.endswith((b"\n\n", b"\r\n\r\n", b"\r\r"))
--- a/features/steps/operator_bad_input_steps.py
+++ b/features/steps/operator_bad_input_steps.py
@@ -3,7 +3,7 @@
 import random
 from pathlib import Path
 
-from bad_input_steps import in_parallel, mutated, send_raw, with_good_calls
+from bad_input_steps import in_parallel, mutated, send_raw, with_valid_requests
 from behave import then, when
 
 from standins.cluster import ADMIN_TOKEN
@@ -46,7 +46,7 @@
     async def act(number):
         return await send_raw(port, messages[number])
 
-    context.answers = with_good_calls(context, in_parallel(count, act))
+    context.answers = with_valid_requests(context, in_parallel(count, act))
 
 
 @then("the configuration in force is still revision {revision:d}")
--- a/features/steps/requests_fuzz_steps.py
+++ b/features/steps/requests_fuzz_steps.py
@@ -1,4 +1,4 @@
-"""Steps on stateful fuzzing of the request path, against the endpoints' records."""
+"""Steps on stateful fuzzing of the request path, checked by the endpoints' records."""
 
 # ruff: noqa: D102, D107
 
@@ -18,20 +18,20 @@
 from standins.callers import SERVICE, Caller, problems
 from standins.processes import HttpError, http
 
-CALLERS_AT_ONCE = 32
-MOMENT_SECONDS = 0.15
-BURST = 8
-PAUSES = st.sampled_from([0.0, 0.05, 0.3, 1.2])
-TWO = st.integers(0, 1)
+CALLER_THREADS = 32
+KILL_DELAY_SECONDS = 0.15
+FIRST_REQUESTS = 8
+PAUSE_SECONDS = st.sampled_from([0.0, 0.05, 0.3, 1.2])
+INDICES = st.integers(0, 1)
 PREFIX = f"/services/{SERVICE}"
 
 
 class RequestPath(RuleBasedStateMachine):
-    """Callers and faults on one deployment; what was seen is kept over all orders."""
+    """Requests and faults on one deployment; answers are kept over all orders."""
 
     context = None
     numbers = itertools.count()
-    seen = []
+    answers = []
 
     def __init__(self):
         super().__init__()
@@ -41,27 +41,31 @@
         self.agents = list(cluster.agent_by_vm.values())
         self.keys = []
         self.calls = []
-        self.pool = ThreadPoolExecutor(CALLERS_AT_ONCE)
-        # What follows finds requests in flight, and a path that works.
-        self.post(0, BURST, 0.1)
-        self.post(1, BURST, 0)
+        self.pool = ThreadPoolExecutor(CALLER_THREADS)
+        # So the first rule finds requests in flight on a request path that works.
+        self.post(0, FIRST_REQUESTS, 0.1)
+        self.post(1, FIRST_REQUESTS, 0)
 
     def send(self, entry, path, **headers):
         def call():
             caller = Caller(self.entries[entry])
             headers["Wagtailcleat_Deadline_Ms"] = "5000"
-            self.seen.append(caller.call("POST", path, b"seat", **headers))
+            self.answers.append(caller.call("POST", path, b"seat", **headers))
             caller.close()
 
         self.calls.append(self.pool.submit(call))
 
-    @rule(entry=TWO, count=st.integers(2, 12), delay=st.sampled_from([0, 0.1, 0.5]))
+    @rule(
+        entry=INDICES,
+        count=st.integers(2, 12),
+        delay=st.sampled_from([0, 0.1, 0.5]),
+    )
     def post(self, entry, count, delay):
         for _ in range(count):
             number = next(self.numbers)
             self.send(entry, f"{PREFIX}/post/{number}?delay={delay}")
 
-    @rule(entry=TWO)
+    @rule(entry=INDICES)
     def take_key(self, entry):
         port = self.entries[entry].ready["http_port"]
         try:
@@ -73,31 +77,31 @@
             path = f"{PREFIX}/key/{next(self.numbers)}"
             self.keys.append((answer.json()["request_id"], path))
 
-    @rule(entry=TWO, which=st.integers(0, 5), twice=st.booleans())
-    def post_key(self, entry, which, twice):
+    @rule(entry=INDICES, index=st.integers(0, 5), twice=st.booleans())
+    def post_key(self, entry, index, twice):
         if not self.keys:
             return
-        key, path = self.keys[which % len(self.keys)]
+        key, path = self.keys[index % len(self.keys)]
         self.send(entry, path, Idempotency_Key=key)
         if twice:
             self.send(1 - entry, path, Idempotency_Key=key)
 
-    @rule(fault=st.sampled_from(["silent", "cut", "hold"]), pause=PAUSES)
+    @rule(fault=st.sampled_from(["silent", "cut", "hold"]), pause=PAUSE_SECONDS)
     def fail_link(self, fault, pause):
         self.link.faults(**{fault: True})
         time.sleep(pause)
 
-    @rule(pause=PAUSES)
-    def mend_link(self, pause):
+    @rule(pause=PAUSE_SECONDS)
+    def heal_link(self, pause):
         self.link.faults()
         time.sleep(pause)
 
-    @rule(agent=TWO, pause=PAUSES)
+    @rule(agent=INDICES, pause=PAUSE_SECONDS)
     def freeze_agent(self, agent, pause):
         self.agents[agent].freeze()
         time.sleep(pause)
 
-    @rule(entry=TWO, pause=PAUSES)
+    @rule(entry=INDICES, pause=PAUSE_SECONDS)
     def freeze_entry(self, entry, pause):
         self.entries[entry].freeze()
         time.sleep(pause)
@@ -107,10 +111,10 @@
         for process in self.agents + self.entries:
             process.thaw()
 
-    @rule(agent=TWO, entry=TWO)
+    @rule(agent=INDICES, entry=INDICES)
     def restart_agent(self, agent, entry):
         self.post(entry, 6, 0.5)
-        time.sleep(MOMENT_SECONDS)
+        time.sleep(KILL_DELAY_SECONDS)
         self.agents[agent].kill()
         self.agents[agent].start()
 
@@ -119,12 +123,13 @@
         self.link.faults()
         wait(self.calls)
         self.pool.shutdown()
-        found = problems(self.context.cluster, self.seen)
-        assert not found, found[:10]
+        violations = problems(self.context.cluster, self.answers)
+        assert not violations, violations[:10]
 
 
 @when(
-    "callers, keys and faults come in {orders:d} derandomized orders of {steps:d} steps"
+    "requests, keys and faults come in {orders:d} derandomized orders"
+    " of {steps:d} steps"
 )
 def step_fuzz(context, orders, steps):
     RequestPath.context = context
@@ -141,11 +146,11 @@
     )
 
 
-@then("every word to a caller is borne out by the endpoints' records")
-def step_borne_out(context):
-    seen = RequestPath.seen
-    found = problems(context.cluster, seen)
-    assert not found, found[:10]
-    answered = sum(call.status == 200 for call in seen)
-    print(f"{len(seen)} calls, {answered} answered 200")
-    assert answered > 50, (answered, len(seen))
+@then("every answer to a caller agrees with the endpoints' records")
+def step_check_answers(context):
+    answers = RequestPath.answers
+    violations = problems(context.cluster, answers)
+    assert not violations, violations[:10]
+    answered = sum(call.status == 200 for call in answers)
+    print(f"{len(answers)} calls, {answered} answered 200")
+    assert answered > 50, (answered, len(answers))
