--- a/wagtailcleat/wire/peers.py
+++ b/wagtailcleat/wire/peers.py
@@ -63,7 +63,8 @@
     received = 0
     while not frames:
         data = await connection.read_bytes(READ_BYTES, partial=True)
-        # A peer that has not proved the secret may make this process hold little.
+        # A peer that has not yet proved the secret must not make this process buffer
+        # much.
         received += len(data)
         if received > MAX_HELLO_BYTES:
             raise HelloError("the hello is too long")
--- a/wagtailcleat/wire/scheduling.py
+++ b/wagtailcleat/wire/scheduling.py
@@ -68,7 +68,7 @@
     refused: list[tuple[RunKey, Refusal]]
     """Starts that will never be carried out; repeated until the leader has replied."""
     silent_seconds: float
-    """Time since which the worker has not answered."""
+    """For how long the worker has not answered."""
     lease_seconds: float
     """Upper bound of the time for which its runs may go on without a renewal."""
     orders_taken: int
