--- a/bench/deployment.py
+++ b/bench/deployment.py
@@ -273,7 +273,7 @@
         choose=chooser(policy.routing, random.Random(f"{seed}/route/{number}")),
         rng=random.Random(f"{seed}/relay/{number}"),
         ids=RequestIds(me.node, me.incarnation, SECRET),
-        fresh=lambda: True,
+        is_view_fresh=lambda: True,
     )
     if policy.retry_always:
         relay.budget.spend = lambda: True  # type: ignore[method-assign]
--- a/features/steps/bad_input_steps.py
+++ b/features/steps/bad_input_steps.py
@@ -15,7 +15,7 @@
 from standins.callers import Caller, Peer, request, settle
 from standins.cluster import Cluster, ServiceOptions, VmOptions
 from standins.processes import http, wait_for
-from wagtailcleat.entry.watchers import EventCutter
+from wagtailcleat.entry.watchers import EventSplitter
 from wagtailcleat.wire.frames import FrameReader
 from wagtailcleat.wire.parts import Lost
 from wagtailcleat.wire.results import Refused
@@ -341,7 +341,7 @@
     def check(made, sizes):
         texts = [end.join([*lines, b"", b""]) for lines, end in made]
         data = b"".join(texts)
-        cutter, out, sizes = EventCutter("0"), [], itertools.cycle(sizes)
+        cutter, out, sizes = EventSplitter("0"), [], itertools.cycle(sizes)
         at = 0
         while at < len(data):
             size = next(sizes)
--- a/wagtailcleat/entry/__init__.py
+++ b/wagtailcleat/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The program on entry VMs: HTTP for callers and operators."""
+"""The program on entry VMs: a reverse proxy for callers, and the admin API."""
--- a/wagtailcleat/entry/admin.py
+++ b/wagtailcleat/entry/admin.py
@@ -1,12 +1,12 @@
-"""The operators' port: the administration API, behind a bearer token."""
+"""The application of the operators' port: the admin API, behind a bearer token."""
 
 from tornado.web import Application
 
-from wagtailcleat.entry.admin_base import Admin, AdminHandler
+from wagtailcleat.entry.admin_base import AdminContext, AdminHandler
 from wagtailcleat.entry.admin_changes import (
     ConfigurationHandler,
     ZoneHandler,
-    ZoneMoveHandler,
+    ZoneOutHandler,
 )
 from wagtailcleat.entry.admin_views import (
     MetricsHandler,
@@ -19,10 +19,10 @@
 
 
 class UnknownHandler(AdminHandler):
-    """Every other path."""
+    """Every path without a handler of its own."""
 
     def handle(self) -> None:
-        """Answer 404 with what there is."""
+        """Answer 404 with the paths that exist."""
         write_refusal(
             self,
             Code.NOT_FOUND,
@@ -33,19 +33,19 @@
     get = head = post = put = delete = patch = options = handle
 
 
-def admin_application(admin: Admin) -> Application:
-    """Return the operators' port's application."""
-    own = {"admin": admin}
+def admin_application(admin: AdminContext) -> Application:
+    """Return the web application of the operators' port."""
+    arguments = {"admin": admin}
     return Application(
         [
-            (r"/admin/configuration", ConfigurationHandler, own),
-            (r"/admin/zones/([a-z0-9-]+)", ZoneHandler, own),
-            (r"/admin/zones/([a-z0-9-]+)/(out|in)", ZoneMoveHandler, own),
-            (r"/admin/nodes", NodesHandler, own),
-            (r"/admin/teams", TeamsHandler, own),
-            (r"/admin/state/([a-z0-9-]+)", StateHandler, own),
-            (r"/metrics", MetricsHandler, own),
-            (r".*", UnknownHandler, own),
+            (r"/admin/configuration", ConfigurationHandler, arguments),
+            (r"/admin/zones/([a-z0-9-]+)", ZoneHandler, arguments),
+            (r"/admin/zones/([a-z0-9-]+)/(out|in)", ZoneOutHandler, arguments),
+            (r"/admin/nodes", NodesHandler, arguments),
+            (r"/admin/teams", TeamsHandler, arguments),
+            (r"/admin/state/([a-z0-9-]+)", StateHandler, arguments),
+            (r"/metrics", MetricsHandler, arguments),
+            (r".*", UnknownHandler, arguments),
         ],
         log_function=lambda _: None,
     )
--- a/wagtailcleat/entry/admin_base.py
+++ b/wagtailcleat/entry/admin_base.py
@@ -1,4 +1,7 @@
-"""What the handlers of the operators' port share: token, state, answers."""
+"""Shared parts of the handlers of the operators' port.
+
+Authentication, configuration changes, state dumps and JSON answers.
+"""
 
 import asyncio
 import hmac
@@ -22,7 +25,7 @@
     write,
 )
 from wagtailcleat.entry.context import write_refusal
-from wagtailcleat.entry.jobs import Jobs
+from wagtailcleat.entry.jobs import JobClient
 from wagtailcleat.errors import Code
 from wagtailcleat.ids import NodeId, Revision
 from wagtailcleat.introspection import Introspection
@@ -36,19 +39,19 @@
 
 log = part_logger("admin")
 
-BEARER = "Bearer "
-CHANGE_ID_BYTES = 9
-MAX_CHANGE_ID = 100
-DUMP_SECONDS = 2.0
-DUMPS_AT_ONCE = 64
+BEARER_PREFIX = "Bearer "
+RANDOM_CHANGE_ID_BYTES = 9
+MAX_CHANGE_ID_LENGTH = 100
+DUMP_TIMEOUT_SECONDS = 2.0
+MAX_CONCURRENT_DUMPS = 64
 RETRY_AFTER_SECONDS = 2.0
 
-State = dict[str, Any]
+StateDump = dict[str, Any]
 
 
 @dataclass(frozen=True)
-class Admin:
-    """What the handlers of the operators' port work with."""
+class AdminContext:
+    """The dependencies of the handlers of the operators' port."""
 
     token: str
     store: Store
@@ -58,13 +61,16 @@
     gossiper: Gossiper
     introspection: Introspection
     clock: Clock
-    jobs: Jobs
+    jobs: JobClient
 
-    async def change(
+    async def apply_change(
         self, base: Revision | None, change_id: str, change: Change
     ) -> Changed:
-        """Write a change, put it in force here and push it at once."""
-        change_id = change_id or secrets.token_urlsafe(CHANGE_ID_BYTES)
+        """Write a change to the store; apply it here and announce it by gossip.
+
+        A change without an id gets a random one.
+        """
+        change_id = change_id or secrets.token_urlsafe(RANDOM_CHANGE_ID_BYTES)
         outcome = await write(self.store, base, change_id, change)
         if isinstance(outcome, Accepted):
             current = outcome.configuration
@@ -75,94 +81,100 @@
                 log.info("A change was accepted", extra=fields)
         return outcome
 
-    async def dump(self, node: NodeId, sections: list[str]) -> str | None:
-        """Return the state dump of a node, or some sections of it, as JSON text."""
+    async def state_dump(self, node: NodeId, sections: list[str]) -> str | None:
+        """Return the state dump of a node as JSON text; None if it was not reached.
+
+        Only the named sections, or all of them if none is named.
+        """
         if node == self.view.me.node:
             return self.introspection.text(sections)
         member = self.view.member_by_node.get(node)
         if member is None:
             return None
         answer = await self.peers.call(
-            member.host, member.port, DumpState(sections), timeout=DUMP_SECONDS
+            member.host, member.port, DumpState(sections), timeout=DUMP_TIMEOUT_SECONDS
         )
         return answer.text if isinstance(answer, Dump) else None
 
-    async def states(
+    async def state_dumps(
         self, members: list[Member], sections: list[str]
-    ) -> list[State | None]:
-        """Return sections of each member's state; None for those not reached."""
-        limit = asyncio.Semaphore(DUMPS_AT_ONCE)
+    ) -> list[StateDump | None]:
+        """Return sections of each member's state dump; None for those not reached."""
+        limit = asyncio.Semaphore(MAX_CONCURRENT_DUMPS)
 
-        async def state(member: Member) -> State | None:
+        async def fetch(member: Member) -> StateDump | None:
             async with limit:
-                text = await self.dump(member.node, sections)
+                text = await self.state_dump(member.node, sections)
             return None if text is None else json.loads(text)
 
-        return list(await asyncio.gather(*(state(member) for member in members)))
+        return list(await asyncio.gather(*(fetch(member) for member in members)))
 
 
 class AdminHandler(RequestHandler):
-    """Base of the operators' handlers: no token, no answer."""
+    """Base of the handlers of the operators' port; requires the bearer token."""
 
-    def initialize(self, admin: Admin) -> None:
-        """Keep what the handler works with."""
+    def initialize(self, admin: AdminContext) -> None:
+        """Store the dependencies of the handler."""
         self.admin = admin
 
     def set_default_headers(self) -> None:
-        """Tell nobody what serves here."""
+        """Remove the `Server` header, so that the server software is not disclosed."""
         self.clear_header("Server")
 
     def prepare(self) -> None:
-        """Refuse whoever lacks the token, compared in constant time."""
-        given = self.request.headers.get("Authorization", "")
-        expected = BEARER + self.admin.token
-        if not hmac.compare_digest(given.encode(), expected.encode()):
+        """Refuse a request without the token.
+
+        The comparison takes constant time.
+        """
+        authorization = self.request.headers.get("Authorization", "")
+        expected = BEARER_PREFIX + self.admin.token
+        if not hmac.compare_digest(authorization.encode(), expected.encode()):
             write_refusal(
                 self, Code.UNAUTHORIZED, "send the token as Authorization: Bearer TOKEN"
             )
 
-    def say(self, body: object, status: int = 200) -> None:
-        """Answer with JSON."""
+    def write_json(self, body: object, status: int = 200) -> None:
+        """Answer with `body` as JSON."""
         self.set_status(status)
         self.set_header("Content-Type", "application/json")
         self.finish(json.dumps(body) + "\n")
 
-    def say_changed(self, outcome: Changed) -> None:
-        """Answer with what became of a change."""
+    def write_change_outcome(self, outcome: Changed) -> None:
+        """Answer with the outcome of a change."""
         if isinstance(outcome, Accepted):
-            self.say({"revision": outcome.revision})
+            self.write_json({"revision": outcome.revision})
         elif isinstance(outcome, Faulty):
             body: dict[str, object] = {
                 "code": Code.INVALID.value,
                 "message": "nothing was applied; mend every problem and apply again",
                 "problems": outcome.problems,
             }
-            self.say(body, 400)
+            self.write_json(body, 400)
         elif isinstance(outcome, Raced):
-            self.say(_conflict(outcome), 409)
+            self.write_json(_conflict_body(outcome), 409)
         elif isinstance(outcome, Missing):
             write_refusal(self, Code.NOT_FOUND, outcome.reason)
         else:
             code = Code.OUTCOME_UNKNOWN if outcome.unknown else Code.UNAVAILABLE
             write_refusal(self, code, outcome.reason, RETRY_AFTER_SECONDS)
 
-    def change_id(self, given: str) -> str | None:
-        """Return the change id if it is usable, or refuse."""
-        if len(given) <= MAX_CHANGE_ID:
-            return given
-        self.say_changed(
-            Faulty([f"$.change_id: at most {MAX_CHANGE_ID} characters, please"])
+    def checked_change_id(self, change_id: str) -> str | None:
+        """Return the change id; if it is too long, refuse it and return None."""
+        if len(change_id) <= MAX_CHANGE_ID_LENGTH:
+            return change_id
+        self.write_change_outcome(
+            Faulty([f"$.change_id: at most {MAX_CHANGE_ID_LENGTH} characters, please"])
         )
         return None
 
     def write_error(self, status_code: int, **kwargs: object) -> None:
-        """Answer an error of the server itself in the same form."""
+        """Answer an error raised by the web framework in the same JSON form."""
         code = Code.INVALID if status_code < 500 else Code.INTERNAL
         self.set_header("Content-Type", "application/json")
         self.finish(json.dumps({"code": code.value, "message": self._reason}) + "\n")
 
 
-def _conflict(outcome: Raced) -> dict[str, object]:
+def _conflict_body(outcome: Raced) -> dict[str, object]:
     revision = outcome.current.revision
     reason = f"revision {revision} came first"
     if outcome.base > revision:
--- a/wagtailcleat/entry/admin_changes.py
+++ b/wagtailcleat/entry/admin_changes.py
@@ -1,4 +1,4 @@
-"""The operators' port: what changes the configuration."""
+"""Handlers of the operators' port that read and change the configuration."""
 
 import msgspec
 
@@ -18,12 +18,12 @@
     raced,
     read,
 )
-from wagtailcleat.entry.admin_base import AdminHandler, State
+from wagtailcleat.entry.admin_base import AdminHandler, StateDump
 from wagtailcleat.errors import SettingsError
 from wagtailcleat.ids import Revision, ZoneName
 from wagtailcleat.storage import Unavailable
 
-ZONE_SECTIONS = ["revision", "tasks_running", "requests_in_flight", "services"]
+ZONE_DUMP_SECTIONS = ["revision", "tasks_running", "requests_in_flight", "services"]
 
 
 class ChangeRequest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -35,117 +35,127 @@
     rules: Rules | None = None
 
     def apply(self, current: Configuration) -> Configuration:
-        """Return `current` with what is asked for put in its place."""
+        """Return `current` with the inventory and rules of this request."""
         inventory = current.inventory if self.inventory is None else self.inventory
         rules = current.rules if self.rules is None else self.rules
         return msgspec.structs.replace(current, inventory=inventory, rules=rules)
 
 
 class ConfigurationHandler(AdminHandler):
-    """`/admin/configuration`: read, try and change the accepted configuration."""
+    """`/admin/configuration`: read, dry-run and change the accepted configuration."""
 
     async def get(self) -> None:
-        """Answer with what the store accepted; `?in_force=true`: what is in force."""
+        """Answer with the configuration in the store.
+
+        `?in_force=true`: the one in force at this entry.
+        """
         if self.get_query_argument("in_force", "false") == "true":
-            self.say(msgspec.to_builtins(self.admin.in_force.configuration))
+            self.write_json(msgspec.to_builtins(self.admin.in_force.configuration))
             return
         stored = await read(self.admin.store)
         if isinstance(stored, Unavailable):
-            self.say_changed(StoreFailed(stored.reason, unknown=False))
+            self.write_change_outcome(StoreFailed(stored.reason, unknown=False))
             return
-        self.say(msgspec.to_builtins(stored.configuration))
+        self.write_json(msgspec.to_builtins(stored.configuration))
 
     async def put(self) -> None:
-        """Apply a new inventory or new rules; `?dry_run=true` only says the diff."""
+        """Apply a new inventory or new rules; `?dry_run=true`: only return the diff."""
         try:
-            asked = convert(read_json(self.request.body), ChangeRequest)
+            change_request = convert(read_json(self.request.body), ChangeRequest)
         except SettingsError as error:
-            self.say_changed(Faulty(error.problems))
+            self.write_change_outcome(Faulty(error.problems))
             return
-        change_id = self.change_id(asked.change_id)
+        change_id = self.checked_change_id(change_request.change_id)
         if change_id is None:
             return
         if self.get_query_argument("dry_run", "false") == "true":
-            await self._try(asked)
+            await self._dry_run(change_request)
             return
-        base = Revision(asked.base_revision)
-        self.say_changed(await self.admin.change(base, change_id, asked.apply))
+        base = Revision(change_request.base_revision)
+        self.write_change_outcome(
+            await self.admin.apply_change(base, change_id, change_request.apply)
+        )
 
-    async def _try(self, asked: ChangeRequest) -> None:
-        # What is in force at this entry may be older than what the store accepted;
-        # a diff against it would show changes that another operator has made.
+    async def _dry_run(self, change_request: ChangeRequest) -> None:
+        # The configuration in force at this entry may be older than the stored one;
+        # a diff against it would include the changes of other operators.
         stored = await read(self.admin.store)
         if isinstance(stored, Unavailable):
-            self.say_changed(StoreFailed(stored.reason, unknown=False))
+            self.write_change_outcome(StoreFailed(stored.reason, unknown=False))
             return
         current = stored.configuration
-        if asked.base_revision != current.revision:
-            base = Revision(asked.base_revision)
-            self.say_changed(await raced(self.admin.store, base, current))
+        if change_request.base_revision != current.revision:
+            base = Revision(change_request.base_revision)
+            self.write_change_outcome(await raced(self.admin.store, base, current))
             return
-        after = checked_change(current, "dry run", asked.apply)
+        after = checked_change(current, "dry run", change_request.apply)
         if not isinstance(after, Configuration):
-            self.say_changed(after)
+            self.write_change_outcome(after)
             return
         changes = msgspec.to_builtins(difference(current, after))
-        self.say({"revision": current.revision, "changes": changes})
+        self.write_json({"revision": current.revision, "changes": changes})
 
 
 class ZoneHandler(AdminHandler):
-    """`/admin/zones/ZONE`: what still runs in an availability zone."""
+    """`/admin/zones/ZONE`: the work that still runs in an availability zone."""
 
     async def get(self, zone: str) -> None:
-        """Answer with what still runs in the zone, and who has not heard yet."""
+        """Answer with the work in the zone, and the number of agents behind.
+
+        An agent is behind while an older revision is in force at it.
+        """
         configuration = self.admin.in_force.configuration
         if not _has_zone(configuration, zone):
-            self.say_changed(_no_zone(zone))
+            self.write_change_outcome(_zone_not_found(zone))
             return
         members = [m for m in self.admin.view.agents() if m.zone == zone]
-        states = await self.admin.states(members, ZONE_SECTIONS)
-        reached = [state for state in states if state is not None]
+        dumps = await self.admin.state_dumps(members, ZONE_DUMP_SECTIONS)
+        reached = [dump for dump in dumps if dump is not None]
         revision = configuration.revision
-        self.say(
+        self.write_json(
             {
                 "zone": zone,
                 "out": zone_is_out(configuration, ZoneName(zone)),
                 "revision": revision,
                 "agents": len(members),
                 "agents_behind": sum(1 for s in reached if s["revision"] < revision),
-                "agents_not_reached": len(states) - len(reached),
+                "agents_not_reached": len(dumps) - len(reached),
                 "tasks_running": sum(s["tasks_running"] for s in reached),
                 "requests_in_flight": sum(s["requests_in_flight"] for s in reached),
-                "watchers": sum(_watchers(s) for s in reached),
+                "watchers": sum(_watcher_count(s) for s in reached),
             }
         )
 
 
-class ZoneMoveHandler(AdminHandler):
-    """`/admin/zones/ZONE/out` and `/in`: take a zone out, bring it back."""
+class ZoneOutHandler(AdminHandler):
+    """`/admin/zones/ZONE/out` and `/in`: take a zone out of use, or back into use."""
 
     async def post(self, zone: str, direction: str) -> None:
-        """Take the zone out (`out`) or bring it back (`in`); idempotent."""
-        change_id = self.change_id(self.get_query_argument("change_id", ""))
+        """Take the zone out of use (`out`) or back into use (`in`); idempotent."""
+        change_id = self.checked_change_id(self.get_query_argument("change_id", ""))
         if change_id is None:
             return
 
         def change(current: Configuration) -> Configuration | Missing:
             if not _has_zone(current, zone):
-                return _no_zone(zone)
+                return _zone_not_found(zone)
             out = set(current.zones_out) - {zone}
             if direction == "out":
                 out.add(zone)
             return msgspec.structs.replace(current, zones_out=sorted(out))
 
-        self.say_changed(await self.admin.change(None, change_id, change))
+        self.write_change_outcome(
+            await self.admin.apply_change(None, change_id, change)
+        )
 
 
-def _watchers(state: State) -> int:
-    return sum(service["watchers"] for service in state["services"].values())
+def _watcher_count(dump: StateDump) -> int:
+    return sum(service["watchers"] for service in dump["services"].values())
 
 
 def _has_zone(configuration: Configuration, zone: str) -> bool:
     return any(known.name == zone for known in configuration.inventory.zones)
 
 
-def _no_zone(zone: str) -> Missing:
+def _zone_not_found(zone: str) -> Missing:
     return Missing(f"no availability zone '{zone}' in the inventory")
--- a/wagtailcleat/entry/admin_views.py
+++ b/wagtailcleat/entry/admin_views.py
@@ -1,4 +1,4 @@
-"""The operators' port: what only looks."""
+"""Read-only handlers of the operators' port."""
 
 import asyncio
 import json
@@ -8,7 +8,7 @@
 
 from wagtailcleat.batch.shards import team_shards
 from wagtailcleat.configuration.models import Team
-from wagtailcleat.entry.admin_base import AdminHandler, State
+from wagtailcleat.entry.admin_base import AdminHandler, StateDump
 from wagtailcleat.entry.context import write_refusal
 from wagtailcleat.errors import Code
 from wagtailcleat.ids import NodeId, TeamName
@@ -17,40 +17,40 @@
 
 
 class NodesHandler(AdminHandler):
-    """`/admin/nodes`: every process known, with the revision in force at each."""
+    """`/admin/nodes`: the live processes, with the revision in force at each."""
 
     async def get(self) -> None:
-        """Answer with one object a process."""
+        """Answer with one object for each process."""
         members = sorted(self.admin.view.live(), key=lambda m: m.node)
-        states = await self.admin.states(members, ["revision"])
-        nodes = [_node(m, s) for m, s in zip(members, states, strict=True)]
-        self.say({"revision": self.admin.in_force.revision, "nodes": nodes})
+        dumps = await self.admin.state_dumps(members, ["revision"])
+        nodes = [_node_summary(m, dump) for m, dump in zip(members, dumps, strict=True)]
+        self.write_json({"revision": self.admin.in_force.revision, "nodes": nodes})
 
 
 class TeamsHandler(AdminHandler):
-    """`/admin/teams`: each team's quota, and what its running tasks are."""
+    """`/admin/teams`: the quota of each team, and counts of its jobs and tasks."""
 
     async def get(self) -> None:
-        """Answer with one object a team."""
+        """Answer with one object for each team."""
         teams = self.admin.in_force.configuration.rules.teams
-        answers = await asyncio.gather(*(self._team(team) for team in teams))
-        self.say({"teams": answers})
+        answers = await asyncio.gather(*(self._team_summary(team) for team in teams))
+        self.write_json({"teams": answers})
 
-    async def _team(self, team: Team) -> dict[str, Any]:
+    async def _team_summary(self, team: Team) -> dict[str, Any]:
         jobs = self.admin.jobs
         shards = set(team_shards(team, jobs.shards))
         name = TeamName(team.name)
         answers = await asyncio.gather(
-            *(jobs.ask(shard, ListJobs(shard, name)) for shard in shards)
+            *(jobs.call_owner(shard, ListJobs(shard, name)) for shard in shards)
         )
-        known = [a for a in answers if isinstance(a, JobAccounts)]
-        accounts = [json.loads(text) for answer in known for text in answer.texts]
-        shown: dict[str, Any] = msgspec.to_builtins(team)
-        return shown | {
+        reached = [a for a in answers if isinstance(a, JobAccounts)]
+        accounts = [json.loads(text) for answer in reached for text in answer.texts]
+        summary: dict[str, Any] = msgspec.to_builtins(team)
+        return summary | {
             "jobs": len(accounts),
             "tasks_assigned": sum(account["assigned"] for account in accounts),
             "tasks_pending": sum(account["pending"] for account in accounts),
-            "shards_not_reached": len(answers) - len(known),
+            "shards_not_reached": len(answers) - len(reached),
         }
 
 
@@ -58,9 +58,9 @@
     """`/admin/state/NODE`: the state dump of any process."""
 
     async def get(self, node: str) -> None:
-        """Answer with the dump; `?section=NAME`, repeated, with some of it."""
+        """Answer with the dump; only some sections for each `?section=NAME`."""
         sections = self.get_query_arguments("section")
-        text = await self.admin.dump(NodeId(node), sections)
+        text = await self.admin.state_dump(NodeId(node), sections)
         if text is None:
             write_refusal(self, Code.NOT_FOUND, f"'{node}' is not known or not reached")
             return
@@ -69,7 +69,7 @@
 
 
 class MetricsHandler(AdminHandler):
-    """`/metrics`: counts and latencies in Prometheus' text format."""
+    """`/metrics`: counts and latencies in the Prometheus text format."""
 
     def get(self) -> None:
         """Answer with all metrics of this process."""
@@ -77,7 +77,7 @@
         self.finish(self.admin.introspection.metrics())
 
 
-def _node(member: Member, state: State | None) -> dict[str, Any]:
+def _node_summary(member: Member, dump: StateDump | None) -> dict[str, Any]:
     return {
         "node": member.node,
         "role": member.role.value,
@@ -87,5 +87,5 @@
         "address": f"{member.host}:{member.port}",
         "services": member.services,
         "shards": member.shards,
-        "revision": None if state is None else state["revision"],
+        "revision": None if dump is None else dump["revision"],
     }
--- a/wagtailcleat/entry/app.py
+++ b/wagtailcleat/entry/app.py
@@ -13,10 +13,10 @@
 from wagtailcleat.configuration.follow import Follower
 from wagtailcleat.daemon import run_daemon
 from wagtailcleat.entry.admin import admin_application
-from wagtailcleat.entry.admin_base import Admin
+from wagtailcleat.entry.admin_base import AdminContext
 from wagtailcleat.entry.callers import callers_application
-from wagtailcleat.entry.context import Callers, CallersState
-from wagtailcleat.entry.jobs import Jobs
+from wagtailcleat.entry.context import CallersContext, CallersState
+from wagtailcleat.entry.jobs import JobClient
 from wagtailcleat.entry.lookup import ServiceLookup
 from wagtailcleat.entry.metrics import add_entry_metrics
 from wagtailcleat.entry.relay import Relay
@@ -37,8 +37,8 @@
 log = part_logger("entry")
 
 MAX_HEADER_BYTES = 32 * 1024
-MAX_INVENTORY_BYTES = 1_000_000
-FORGET_SECONDS = 10.0
+MAX_ADMIN_BODY_BYTES = 1_000_000
+ENDPOINT_CLEANUP_INTERVAL_SECONDS = 10.0
 
 S = TypeVar("S", bound=HTTPServer)
 
@@ -46,7 +46,10 @@
 
 
 class Entry:
-    """One running entry: two HTTP servers around a relay."""
+    """One running entry: the HTTP servers of callers and operators, and the relay.
+
+    An entry is a reverse proxy: it relays requests to endpoints behind agents.
+    """
 
     def __init__(
         self,
@@ -55,7 +58,7 @@
         clock: Clock = boot_time,
         wall_clock: Clock = wall_time,
     ) -> None:
-        """Wire everything; nothing is served yet but the peer port."""
+        """Create all parts; only the peer port is served before `start`."""
         self.node: Node = make_node(
             settings, Role.ENTRY, clock=clock, wall_clock=wall_clock
         )
@@ -71,9 +74,9 @@
             ids=RequestIds(
                 node.view.me.node, node.view.me.incarnation, settings.secret
             ),
-            fresh=node.fresh,
+            is_view_fresh=node.fresh,
         )
-        callers = Callers(
+        callers = CallersContext(
             self.relay,
             node.in_force,
             node.view,
@@ -83,8 +86,10 @@
             settings.max_body_bytes,
             ServiceLookup(),
         )
-        jobs = Jobs(node.view, node.in_force, node.peers, settings.shards, node.clock)
-        admin = Admin(
+        jobs = JobClient(
+            node.view, node.in_force, node.peers, settings.shards, node.clock
+        )
+        admin = AdminContext(
             settings.admin_token,
             node.store,
             node.view,
@@ -95,21 +100,21 @@
             node.clock,
             jobs,
         )
-        self.callers_server = _server(
+        self.callers_server = _make_server(
             CallersServer,
             callers_application(callers, jobs),
             settings.max_body_bytes,
             settings,
         )
-        self.callers_server.serve_for(self.state, settings.max_connections)
-        self.admin_server = _server(
-            HTTPServer, admin_application(admin), MAX_INVENTORY_BYTES, settings
+        self.callers_server.set_limits(self.state, settings.max_connections)
+        self.admin_server = _make_server(
+            HTTPServer, admin_application(admin), MAX_ADMIN_BODY_BYTES, settings
         )
         self._settings = settings
-        self._add_sections()
+        self._add_dump_sections()
 
     def start(self) -> dict[str, int]:
-        """Serve; return the ports."""
+        """Start the servers and background tasks; return the ports by name."""
         node, settings = self.node, self._settings
         follower = Follower(
             node.store,
@@ -119,7 +124,7 @@
             rng=node.rng("follower"),
         )
         node.supervisor.spawn("configuration", follower.run)
-        node.supervisor.spawn("forget", self._forget)
+        node.supervisor.spawn("forget", self._delete_departed_endpoints)
         node.start()
         callers = bind(settings.host, settings.http_port)
         self.callers_server.add_sockets(callers)  # type: ignore[arg-type]
@@ -132,41 +137,41 @@
         }
 
     async def stop(self) -> None:
-        """Turn the health check red, finish what is in flight, then end."""
+        """Fail the health check, drain requests in flight, then leave the cluster."""
         timing = self._settings.timing
         self.state.draining = True
-        log.info("Leaving")
+        log.info("Draining before leaving the cluster")
         await self.node.change_me(state=MemberState.LEAVING)
-        # The balancer goes on sending until it has seen the health check fail.
+        # The load balancer sends new requests until it has seen the health check fail.
         await asyncio.sleep(timing.balancer_notice)
-        self.state.watchers_end.set()
+        self.state.stop_watchers.set()
         await self.callers_server.drain(timing.drain)
         self.admin_server.stop()
         await self.admin_server.close_all_connections()
         await self.node.leave()
 
-    async def _forget(self) -> None:
+    async def _delete_departed_endpoints(self) -> None:
         while True:
             nodes = {m.node for m in self.node.view.live()}
             self.relay.endpoints.keep_only(nodes)
-            await asyncio.sleep(FORGET_SECONDS)
+            await asyncio.sleep(ENDPOINT_CLEANUP_INTERVAL_SECONDS)
 
-    def _add_sections(self) -> None:
+    def _add_dump_sections(self) -> None:
         add = self.node.introspection.add
         state, relay = self.state, self.relay
         add("requests_in_flight", lambda: state.in_flight)
         add("draining", lambda: state.draining)
         add("refused", lambda: state.refused)
-        add("connections_turned_away", lambda: state.turned_away)
+        add("connections_turned_away", lambda: state.rejected_connections)
         add("requests", lambda: relay.requests)
         add("retries", lambda: relay.retries)
         add("p50_ms", lambda: state.latencies.get_value_at_percentile(50) / 1000)
         add("p99_ms", lambda: state.latencies.get_value_at_percentile(99) / 1000)
-        add("endpoints", self._endpoints)
+        add("endpoints", self._endpoint_statistics)
         add_node_metrics(self.node.introspection, self.node)
         add_entry_metrics(self.node.introspection, state, relay)
 
-    def _endpoints(self) -> dict[str, object]:
+    def _endpoint_statistics(self) -> dict[str, object]:
         now = self.node.clock()
         records = self.relay.endpoints.record_by_node
         return {
@@ -179,7 +184,7 @@
         }
 
 
-def _server(
+def _make_server(
     kind: type[S],
     application: Application,
     max_body_bytes: int,
--- a/wagtailcleat/entry/context.py
+++ b/wagtailcleat/entry/context.py
@@ -1,4 +1,4 @@
-"""What the handlers of the callers' port share: state and refusals."""
+"""Shared parts of the handlers of the callers' port: state and refusals."""
 
 import asyncio
 import json
@@ -16,8 +16,8 @@
 from wagtailcleat.errors import Code
 from wagtailcleat.membership.view import View
 
-MICROSECONDS = 1_000_000
-HIGHEST_LATENCY_MICROSECONDS = 3_600 * MICROSECONDS
+MICROSECONDS_PER_SECOND = 1_000_000
+MAX_LATENCY_MICROSECONDS = 3_600 * MICROSECONDS_PER_SECOND
 SIGNIFICANT_DIGITS = 2
 STATUS_BY_CODE = {
     Code.NOT_RUN: 503,
@@ -32,42 +32,40 @@
     Code.QUOTA: 422,
     Code.INTERNAL: 500,
 }
-ERRORS_BY_STATUS = {400: "the request is not one of HTTP", 405: "no such method here"}
+MESSAGE_BY_STATUS = {400: "the request is not one of HTTP", 405: "no such method here"}
 
 
 @dataclass
 class CallersState:
-    """What the callers' port counts, and whether it takes new work."""
+    """Counts and latencies of the callers' port, and whether it is draining."""
 
     draining: bool = False
     in_flight: int = 0
     refused: int = 0
-    turned_away: int = 0
+    rejected_connections: int = 0
 
     def __post_init__(self) -> None:
-        """Start idle, with an empty histogram."""
-        self.watchers_end = asyncio.Event()
+        """Start idle, with an empty latency histogram (microseconds)."""
+        self.stop_watchers = asyncio.Event()
         self.idle = asyncio.Event()
         self.idle.set()
-        self.latencies = HdrHistogram(
-            1, HIGHEST_LATENCY_MICROSECONDS, SIGNIFICANT_DIGITS
-        )
+        self.latencies = HdrHistogram(1, MAX_LATENCY_MICROSECONDS, SIGNIFICANT_DIGITS)
 
-    def enter(self) -> None:
-        """Note a request or watcher in flight."""
+    def request_started(self) -> None:
+        """Count a request or watcher as in flight."""
         self.in_flight += 1
         self.idle.clear()
 
-    def leave(self) -> None:
-        """Note that it is answered."""
+    def request_ended(self) -> None:
+        """Count a request or watcher as ended."""
         self.in_flight -= 1
         if not self.in_flight:
             self.idle.set()
 
 
 @dataclass(frozen=True)
-class Callers:
-    """What the handlers of the callers' port work with."""
+class CallersContext:
+    """The dependencies of the handlers of the callers' port."""
 
     relay: Relay
     in_force: InForce
@@ -80,40 +78,43 @@
 
 
 class CallersHandler(RequestHandler):
-    """Base of the callers' handlers: refusals as JSON with a stable code."""
+    """Base of the handlers of the callers' port.
 
-    def initialize(self, callers: Callers) -> None:
-        """Keep what the handler works with."""
+    A refusal is JSON with an error code that clients can rely on.
+    """
+
+    def initialize(self, callers: CallersContext) -> None:
+        """Store the dependencies of the handler."""
         self.callers = callers
-        self.gone = asyncio.Event()
+        self.disconnected = asyncio.Event()
 
     def on_connection_close(self) -> None:
-        """Note that the caller is gone."""
-        self.gone.set()
+        """Set `disconnected`: the caller has closed its connection."""
+        self.disconnected.set()
 
     def set_default_headers(self) -> None:
-        """Leave the endpoint's own headers alone."""
+        """Remove the default headers, so that the endpoint's own are passed on."""
         self.clear_header("Server")
         self.clear_header("Content-Type")
 
     def flush(self, include_footers: bool = False) -> "Future[None]":
-        """Send what was written; a process that leaves ends the connection with it.
+        """Send the buffered data; add `Connection: close` while the process drains.
 
-        A caller that kept its connection would send its next request just as the
-        connection is closed, and never know what became of it.
+        On a connection kept alive, the caller could send its next request just as
+        the connection is closed, and would not learn the outcome.
         """
         if self.callers.state.draining and not self._headers_written:
             self.set_header("Connection", "close")
         return super().flush(include_footers)
 
     def refuse(self, code: Code, message: str, retry_after: float = 0.0) -> None:
-        """Answer with a refusal; `retry_after` in seconds where waiting helps."""
+        """Answer with a refusal; `retry_after` is in seconds, 0 for no such advice."""
         write_refusal(self, code, message, retry_after)
 
     def write_error(self, status_code: int, **kwargs: object) -> None:
-        """Answer an error of the server itself in the same form."""
+        """Answer an error raised by the web framework in the same JSON form."""
         code = Code.INVALID if status_code < 500 else Code.INTERNAL
-        message = ERRORS_BY_STATUS.get(status_code, self._reason)
+        message = MESSAGE_BY_STATUS.get(status_code, self._reason)
         body = {"code": code.value, "message": message}
         self.set_header("Content-Type", "application/json")
         self.finish(json.dumps(body) + "\n")
@@ -124,7 +125,8 @@
 ) -> None:
     """Answer with a refusal as JSON.
 
-    `Retry-After` is in whole seconds as HTTP has it; the body has the exact value.
+    `retry_after` is in seconds. HTTP allows only whole seconds in `Retry-After`, so
+    the header is rounded up; the body has the value to the millisecond.
     """
     body: dict[str, object] = {"code": code.value, "message": message}
     handler.set_status(STATUS_BY_CODE[code])
--- a/wagtailcleat/entry/jobs.py
+++ b/wagtailcleat/entry/jobs.py
@@ -1,4 +1,7 @@
-"""The callers' port: batch jobs, forwarded to the owner of their shard."""
+"""Handlers of batch jobs at the callers' port.
+
+Each call is forwarded to the agent that owns the shard of the job.
+"""
 
 import asyncio
 import json
@@ -14,7 +17,7 @@
 from wagtailcleat.clock import Clock
 from wagtailcleat.configuration.models import NAME_PATTERN, Name, Team, team_named
 from wagtailcleat.configuration.parts import InForce
-from wagtailcleat.entry.context import Callers, CallersHandler
+from wagtailcleat.entry.context import CallersContext, CallersHandler
 from wagtailcleat.errors import Code, SettingsError
 from wagtailcleat.ids import JobId, ShardId, TeamName
 from wagtailcleat.membership.view import View
@@ -37,19 +40,22 @@
 from wagtailcleat.wire.peers import Peers
 from wagtailcleat.wire.results import Refused
 
-CALL_SECONDS = 6.0
+CALL_TIMEOUT_SECONDS = 6.0
 OWNER_WAIT_SECONDS = 2.0
-OWNER_POLL_SECONDS = 0.1
+OWNER_POLL_INTERVAL_SECONDS = 0.1
 RETRY_AFTER_SECONDS = 1.0
 MAX_TASKS = 10_000
 MAX_COMMAND_BYTES = 4096
-NO_TIME = 0.0
+NO_DEADLINE = 0.0
 
 Order = Callable[[ShardId], AnyMessage]
 
 
 class Submission(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A job as a caller submits it; `deadline_seconds` counts from now."""
+    """A job as submitted by a caller.
+
+    `deadline_seconds` counts from the acceptance, and holds if there is no `deadline`.
+    """
 
     id: Name
     command: Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_COMMAND_BYTES)]
@@ -65,8 +71,8 @@
 
 
 @dataclass(frozen=True)
-class Jobs:
-    """What reaches the owners of shards."""
+class JobClient:
+    """Sends calls about jobs to the agents that own the shards of the jobs."""
 
     view: View
     in_force: InForce
@@ -74,47 +80,53 @@
     shards: int
     clock: Clock
 
-    async def ask(self, shard: ShardId, order: AnyMessage) -> AnyMessage | Lost:
-        """Send an order to the shard's owner, waiting a little for there to be one."""
+    async def call_owner(
+        self, shard: ShardId, message: AnyMessage
+    ) -> AnyMessage | Lost:
+        """Send a message to the shard's owner and return its answer.
+
+        The call is repeated for `OWNER_WAIT_SECONDS` while the shard has no owner
+        that is reachable and up to date.
+        """
         give_up_at = self.clock() + OWNER_WAIT_SECONDS
         while True:
             owner = self.view.owner(shard)
             answer: AnyMessage | Lost = Lost(False, "the shard has no owner now")
             if owner is not None:
-                answer = await self._ask(owner, order)
-            unsent = isinstance(answer, Lost) and not answer.sent
-            if not (unsent or isinstance(answer, NotOwner | Behind)):
+                answer = await self._call(owner, message)
+            is_unsent = isinstance(answer, Lost) and not answer.sent
+            if not (is_unsent or isinstance(answer, NotOwner | Behind)):
                 return answer
             if self.clock() > give_up_at:
                 return Lost(False, "the shard has no owner that is up to date now")
-            await asyncio.sleep(OWNER_POLL_SECONDS)
+            await asyncio.sleep(OWNER_POLL_INTERVAL_SECONDS)
 
-    async def _ask(self, owner: Member, order: AnyMessage) -> AnyMessage | Lost:
+    async def _call(self, owner: Member, message: AnyMessage) -> AnyMessage | Lost:
         return await self.peers.call(
-            owner.host, owner.port, order, timeout=CALL_SECONDS
+            owner.host, owner.port, message, timeout=CALL_TIMEOUT_SECONDS
         )
 
 
-class JobBase(CallersHandler):
-    """What the handlers of jobs share."""
+class JobHandlerBase(CallersHandler):
+    """Base of the handlers of jobs."""
 
     def initialize(  # type: ignore[override]
-        self, callers: Callers, jobs: Jobs
+        self, callers: CallersContext, jobs: JobClient
     ) -> None:
-        """Keep what the handler works with."""
+        """Store the dependencies of the handler."""
         self.callers = callers
         self.jobs = jobs
 
-    def team(self, name: str) -> Team | None:
-        """Return the team of the path, or refuse."""
+    def find_team(self, name: str) -> Team | None:
+        """Return the team of that name; if unknown, refuse and return None."""
         configuration = self.jobs.in_force.configuration
         found = team_named(configuration, TeamName(name))
         if found is None:
             self.refuse(Code.NOT_FOUND, f"no team '{name}' in the rules")
         return found
 
-    def answer(self, answer: AnyMessage | Lost, status: int = 200) -> None:
-        """Answer with the account, or the owner's refusal."""
+    def write_answer(self, answer: AnyMessage | Lost, status: int = 200) -> None:
+        """Answer with the owner's account of the job, or with a refusal."""
         if isinstance(answer, JobAccount):
             self.set_status(status)
             self.set_header("Content-Type", "application/json")
@@ -132,22 +144,22 @@
             self.refuse(Code.NOT_RUN, reason, RETRY_AFTER_SECONDS)
 
 
-class JobsHandler(JobBase):
-    """`/teams/TEAM/jobs`: submit and list."""
+class JobsHandler(JobHandlerBase):
+    """`/teams/TEAM/jobs`: submit a job, list the jobs."""
 
     async def get(self, name: str) -> None:
         """Answer with the accounts of all the team's jobs."""
-        team = self.team(name)
+        team = self.find_team(name)
         if team is None:
             return
         shards = set(team_shards(team, self.jobs.shards))
         answers = await asyncio.gather(
-            *(self.jobs.ask(s, ListJobs(s, TeamName(name))) for s in shards)
+            *(self.jobs.call_owner(s, ListJobs(s, TeamName(name))) for s in shards)
         )
         accounts: list[Any] = []
         for answer in answers:
             if not isinstance(answer, JobAccounts):
-                self.answer(answer)
+                self.write_answer(answer)
                 return
             accounts += [json.loads(text) for text in answer.texts]
         accounts.sort(key=lambda a: (a["deadline"], a["id"]))
@@ -155,8 +167,8 @@
         self.finish(json.dumps({"jobs": accounts}) + "\n")
 
     async def post(self, name: str) -> None:
-        """Accept a job: answered once it is in the store."""
-        team = self.team(name)
+        """Submit a job; answer once it is in the store."""
+        team = self.find_team(name)
         if team is None:
             return
         try:
@@ -164,31 +176,33 @@
         except SettingsError as error:
             self.refuse(Code.INVALID, error.message)
             return
-        spec = _spec(submission, team, self.jobs.shards)
+        spec = _job_spec(submission, team, self.jobs.shards)
         revision = self.jobs.in_force.revision
-        answer = await self.jobs.ask(spec.shard, SubmitJob(spec, revision))
-        self.answer(answer, status=201)
+        answer = await self.jobs.call_owner(spec.shard, SubmitJob(spec, revision))
+        self.write_answer(answer, status=201)
 
 
-class JobHandler(JobBase):
-    """`/teams/TEAM/jobs/ID`: show and cancel."""
+class JobHandler(JobHandlerBase):
+    """`/teams/TEAM/jobs/ID`: show or cancel a job."""
 
     async def get(self, name: str, job: str) -> None:
         """Answer with the job's account."""
-        found = self._find(name, job)
+        found = self._find_job(name, job)
         if found is not None:
             job_id, shard = found
-            self.answer(await self.jobs.ask(shard, ShowJob(job_id, shard)))
+            self.write_answer(await self.jobs.call_owner(shard, ShowJob(job_id, shard)))
 
     async def delete(self, name: str, job: str) -> None:
         """Cancel the job; idempotent."""
-        found = self._find(name, job)
+        found = self._find_job(name, job)
         if found is not None:
             job_id, shard = found
-            self.answer(await self.jobs.ask(shard, CancelJob(job_id, shard)))
+            self.write_answer(
+                await self.jobs.call_owner(shard, CancelJob(job_id, shard))
+            )
 
-    def _find(self, name: str, job: str) -> tuple[JobId, ShardId] | None:
-        team = self.team(name)
+    def _find_job(self, name: str, job: str) -> tuple[JobId, ShardId] | None:
+        team = self.find_team(name)
         if team is None:
             return None
         if not re.match(NAME_PATTERN, job):
@@ -198,18 +212,18 @@
         return make_job_id(shard, TeamName(name), job), shard
 
 
-def _spec(submission: Submission, team: Team, shards: int) -> JobSpec:
+def _job_spec(submission: Submission, team: Team, shards: int) -> JobSpec:
     shard = find_shard(team, submission.id, shards)
     size = Resources(submission.cores, submission.memory_mb, submission.accelerators)
-    # A deadline that counts from now would differ when the same job is sent again;
-    # it is the owner that fixes it, at its first acceptance.
+    # A deadline computed here from `deadline_seconds` would differ when the same job is
+    # submitted again; the owner computes it once, when it first accepts the job.
     return JobSpec(
         make_job_id(shard, TeamName(team.name), submission.id),
         TeamName(team.name),
         shard,
         submission.tasks,
         TaskSpec(submission.command, size, submission.run_seconds),
-        submission.deadline if submission.deadline is not None else NO_TIME,
+        submission.deadline if submission.deadline is not None else NO_DEADLINE,
         submission.urgent,
         submission.job_class,
         submission.deadline_seconds,
--- a/wagtailcleat/entry/metrics.py
+++ b/wagtailcleat/entry/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of an entry."""
+"""The metrics of an entry, registered at its start."""
 
 from wagtailcleat.entry.context import CallersState
 from wagtailcleat.entry.relay import Relay
@@ -8,7 +8,7 @@
 def add_entry_metrics(
     introspection: Introspection, state: CallersState, relay: Relay
 ) -> None:
-    """Show what the callers' port counts."""
+    """Register the metrics of the callers' port and the relay."""
     metric = introspection.metric
     metric(
         Kind.COUNTER,
@@ -32,7 +32,7 @@
         Kind.COUNTER,
         "connections_turned_away",
         "Callers' connections closed as there were too many.",
-        lambda: state.turned_away,
+        lambda: state.rejected_connections,
     )
     metric(
         Kind.GAUGE,
--- a/wagtailcleat/entry/relay.py
+++ b/wagtailcleat/entry/relay.py
@@ -1,4 +1,7 @@
-"""Carries one request to an endpoint and back: choose, send, settle, retry."""
+"""Relays service requests to endpoints, and retries those that may run again.
+
+The callers' port uses one `Relay` for all its requests.
+"""
 
 import asyncio
 import random
@@ -39,19 +42,19 @@
 from wagtailcleat.wire.results import Refused
 from wagtailcleat.wire.streams import Stream
 
-FIRST_RETRY_AFTER_SECONDS = 0.5
-SETTLE_SECONDS = 3.0
-SETTLE_PAUSE_SECONDS = 0.1
-SERVING_KEPT_SECONDS = 0.02
-FRESH_WAIT_SECONDS = 0.5
-FRESH_POLL_SECONDS = 0.01
-SPREAD = (0.8, 1.6)
-FAILED_STATUS = 500
+RETRY_AFTER_SECONDS = 0.5
+IN_DOUBT_TIMEOUT_SECONDS = 3.0
+IN_DOUBT_RETRY_INTERVAL_SECONDS = 0.1
+SERVING_CACHE_SECONDS = 0.02
+FRESH_VIEW_WAIT_SECONDS = 0.5
+FRESH_VIEW_POLL_INTERVAL_SECONDS = 0.01
+RETRY_AFTER_JITTER = (0.8, 1.6)
+MIN_FAILURE_STATUS = 500
 
 
 @dataclass(frozen=True)
 class CallerRequest:
-    """A request as a caller sent it; `deadline` is on this process's clock."""
+    """A request as sent by a caller; `deadline` is a time of this process's clock."""
 
     service: ServiceName
     method: str
@@ -60,12 +63,15 @@
     body: bytes
     deadline: float
     idempotent: bool
-    key: RequestId | None = None
+    idempotency_key: RequestId | None = None
 
 
 @dataclass(frozen=True)
-class WatchOpened:
-    """A watcher's answer has begun; the rest comes in `parts`."""
+class Watch:
+    """A watcher's open stream: the start of the answer, and the `parts` that follow.
+
+    `member` is the agent that relays the stream.
+    """
 
     answer: Answer
     parts: Parts
@@ -73,7 +79,7 @@
 
 
 class Relay:
-    """Sends requests to endpoints; state: what it knows of each endpoint."""
+    """Relays requests to endpoints, and keeps statistics of each endpoint."""
 
     def __init__(
         self,
@@ -85,11 +91,11 @@
         choose: Choose,
         rng: random.Random,
         ids: RequestIds,
-        fresh: Callable[[], bool],
+        is_view_fresh: Callable[[], bool],
     ) -> None:
-        """Route by `choose` among the endpoints that `view` knows.
+        """Create a relay that routes by `choose` among the endpoints in `view`.
 
-        Parameters: `fresh` tells whether the view may be acted on.
+        `is_view_fresh` returns whether the view is recent enough to route by.
         """
         self.endpoints = Endpoints()
         self.budget = RetryBudget()
@@ -102,130 +108,145 @@
         self._choose = choose
         self._random = rng
         self._ids = ids
-        self._serving_by_service: dict[ServiceName, tuple[list[Member], float]] = {}
-        self._fresh = fresh
+        self._serving_cache_by_service: dict[
+            ServiceName, tuple[list[Member], float]
+        ] = {}
+        self._is_view_fresh = is_view_fresh
 
     async def send(self, request: CallerRequest) -> RequestOutcome:
-        """Return the request's outcome, by its deadline at the latest."""
+        """Relay a request; return its outcome by its deadline at the latest."""
         self.requests += 1
         self.budget.request(self._configuration.rules.retry_share)
-        await self._until_fresh()
-        if request.key is not None:
-            return await self._send_keyed(request, request.key)
+        await self._wait_for_fresh_view()
+        if request.idempotency_key is not None:
+            return await self._send_with_key(request, request.idempotency_key)
         tried: set[NodeId] = set()
         outcome: RequestOutcome = _no_endpoint()
         for _ in range(MAX_TRIES):
-            member = self._pick(request.service, tried)
-            if member is None or (tried and not self._may_send_again(outcome, member)):
+            member = self._choose_endpoint(request.service, tried)
+            if member is None or (tried and not self._take_retry(outcome, member)):
                 break
             tried.add(member.node)
-            outcome = await self._try(request, member, self._ids.plain())
+            outcome = await self._send_to(request, member, self._ids.plain())
             if not self._may_retry(request, outcome):
                 break
-        return self._final(outcome)
+        return self._with_jitter(outcome)
 
     async def open_watch(
         self, request: CallerRequest, tried: set[NodeId]
-    ) -> WatchOpened | RequestOutcome:
-        """Open a watcher's answer at an endpoint not in `tried`."""
-        await self._until_fresh()
+    ) -> Watch | RequestOutcome:
+        """Open a watcher's stream at an endpoint not in `tried`.
+
+        The nodes that are tried are added to `tried`.
+        """
+        await self._wait_for_fresh_view()
         outcome: RequestOutcome = _no_endpoint()
         for _ in range(MAX_TRIES):
-            member = self._pick(request.service, tried)
+            member = self._choose_endpoint(request.service, tried)
             if member is None:
                 break
             tried.add(member.node)
             parts = Parts()
-            message = self._message(request, member, self._ids.plain())
+            message = self._make_message(request, member, self._ids.plain())
             reply = await self._call(member, message, request.deadline, parts)
             if isinstance(reply, Answer) and reply.parts:
-                return WatchOpened(reply, parts, member)
-            outcome = _outcome(reply)
+                return Watch(reply, parts, member)
+            outcome = _to_outcome(reply)
             if not self._may_retry(request, outcome):
                 break
-        return self._final(outcome)
+        return self._with_jitter(outcome)
 
-    def give_up(self, watch: WatchOpened) -> None:
-        """Tell the agent that a watcher is gone."""
+    def cancel_watch(self, watch: Watch) -> None:
+        """Notify the agent that a watch has ended, so that it closes the stream."""
         for stream in self._peers.streams:
             if stream.peer == watch.member.node:
                 stream.cancel_parts(watch.parts)
 
-    async def new_key(self, service: ServiceName) -> RequestId | None:
-        """Return an id to send a request with, repeatedly if need be."""
-        await self._until_fresh()
-        member = self._pick(service, set())
+    async def new_idempotency_key(self, service: ServiceName) -> RequestId | None:
+        """Return an idempotency key for a request; None if no endpoint serves it.
+
+        The key names the agent that runs the request, so that it runs at most once.
+        """
+        await self._wait_for_fresh_view()
+        member = self._choose_endpoint(service, set())
         if member is None:
             return None
         return self._ids.keyed(Home(member.node, member.incarnation))
 
-    async def _until_fresh(self) -> None:
-        # After a pause the view may still have a zone in, or an endpoint alive,
-        # that has long left. A peer is heard within milliseconds; where none is,
-        # the agents' own refusals are what counts.
-        give_up_at = self._clock() + FRESH_WAIT_SECONDS
-        while not self._fresh() and self._clock() < give_up_at:  # noqa: ASYNC110
-            await asyncio.sleep(FRESH_POLL_SECONDS)
+    async def _wait_for_fresh_view(self) -> None:
+        # After a pause of this process, the view may still show a zone in use or an
+        # endpoint alive that left long ago. A message from a peer normally arrives
+        # within milliseconds; if none does, the agents' own refusals decide.
+        give_up_at = self._clock() + FRESH_VIEW_WAIT_SECONDS
+        while not self._is_view_fresh() and self._clock() < give_up_at:  # noqa: ASYNC110
+            await asyncio.sleep(FRESH_VIEW_POLL_INTERVAL_SECONDS)
 
     @property
     def _configuration(self) -> Configuration:
         return self._in_force.configuration
 
-    def _pick(self, service: ServiceName, tried: set[NodeId]) -> Member | None:
+    def _choose_endpoint(
+        self, service: ServiceName, tried: set[NodeId]
+    ) -> Member | None:
         now = self._clock()
-        serving = self._serving(service, now)
+        serving = self._serving_members(service, now)
         usable = candidates(serving, self._configuration, self.endpoints, tried, now)
         return self._choose(usable, self.endpoints, now) if usable else None
 
-    def _serving(self, service: ServiceName, now: float) -> list[Member]:
-        # The view walks all members; an agent that has just left refuses by itself.
-        known, until = self._serving_by_service.get(service, ([], 0.0))
-        if now >= until or not known:
-            known = self._view.serving(service)
-            self._serving_by_service[service] = known, now + SERVING_KEPT_SECONDS
-        return known
+    def _serving_members(self, service: ServiceName, now: float) -> list[Member]:
+        # The result is cached, as the view walks all members. A stale read is harmless:
+        # an agent that has just left refuses the request.
+        members, expires_at = self._serving_cache_by_service.get(service, ([], 0.0))
+        if now >= expires_at or not members:
+            members = self._view.serving(service)
+            self._serving_cache_by_service[service] = (
+                members,
+                now + SERVING_CACHE_SECONDS,
+            )
+        return members
 
-    async def _send_keyed(
-        self, request: CallerRequest, key: RequestId
+    async def _send_with_key(
+        self, request: CallerRequest, idempotency_key: RequestId
     ) -> RequestOutcome:
-        home = self._ids.home(key)
+        home = self._ids.home(idempotency_key)
         if home is None:
             reason = "the key is none that POST /services/NAME:request-id gave out"
             return Rejected(Code.INVALID, reason)
         member = self._view.member_by_node.get(home.node)
         if member is None or member.incarnation < home.incarnation:
-            return _ask_again("the agent that the key names is not known here yet")
+            return _unavailable("the agent that the key names is not known here yet")
         if member.incarnation > home.incarnation:
             return OutcomeUnknown("the agent that the key names was started anew")
-        return self._final(await self._try(request, member, key))
+        return self._with_jitter(await self._send_to(request, member, idempotency_key))
 
-    async def _try(
+    async def _send_to(
         self, request: CallerRequest, member: Member, request_id: RequestId
     ) -> RequestOutcome:
         record = self.endpoints.record(member.node)
-        message = self._message(request, member, request_id)
+        message = self._make_message(request, member, request_id)
         started = self._clock()
         record.sent(started)
         try:
             reply = await self._call(member, message, request.deadline, None)
             if isinstance(reply, Lost) and reply.sent:
-                reply = await self._settle(request, member, message)
+                reply = await self._resolve_in_doubt(request, member, message)
         finally:
             record.done(self._clock())
-        self._note(record, reply, started)
-        outcome = _outcome(reply)
-        if request.key is not None and not _is_agents_word(reply):
-            # An earlier use of the key may have run, whatever became of this one.
-            return _ask_again("the agent that the key names can't be asked now")
+        self._record_reply(record, reply, started)
+        outcome = _to_outcome(reply)
+        if request.idempotency_key is not None and not _holds_for_earlier_uses(reply):
+            # An earlier request with this key may have run, whatever the outcome of
+            # this one, so it must not be reported as not run.
+            return _unavailable("the agent that the key names can't be asked now")
         return outcome
 
-    def _note(
+    def _record_reply(
         self, record: EndpointRecord, reply: Answer | Refused | Lost, started: float
     ) -> None:
         now = self._clock()
         if isinstance(reply, Answer):
             record.told(reply.load, now)
-            if reply.status < FAILED_STATUS:
+            if reply.status < MIN_FAILURE_STATUS:
                 record.succeeded(now - started, now)
             else:
                 record.failed(now)
@@ -241,48 +262,49 @@
         deadline: float,
         parts: Parts | None,
     ) -> Answer | Refused | Lost:
-        seconds = deadline - self._clock()
-        if seconds <= 0:
+        remaining = deadline - self._clock()
+        if remaining <= 0:
             return Lost(False, "the deadline passed")
-        stream = await self._stream(member)
+        stream = await self._open_stream(member)
         if isinstance(stream, Lost):
             return stream
-        left = max(0.001, deadline - self._clock())
-        message = msgspec.structs.replace(message, deadline=left)
-        reply = await stream.call(message, timeout=left, parts=parts)
+        remaining = max(0.001, deadline - self._clock())
+        message = msgspec.structs.replace(message, deadline=remaining)
+        reply = await stream.call(message, timeout=remaining, parts=parts)
         if isinstance(reply, Refused) and reply.code == WRONG_INCARNATION:
             return Lost(False, "the agent was started anew")
         if isinstance(reply, Answer | Refused | Lost):
             return reply
         return Lost(True, "the agent gave another kind of answer")
 
-    async def _stream(self, member: Member) -> Stream | Lost:
+    async def _open_stream(self, member: Member) -> Stream | Lost:
         stream = await self._peers.stream(member.host, member.port)
         if isinstance(stream, Stream) and stream.peer != member.node:
             return Lost(False, "another process has the agent's address now")
         return stream
 
-    async def _settle(
+    async def _resolve_in_doubt(
         self, request: CallerRequest, member: Member, message: ServiceRequest
     ) -> Answer | Refused | Lost:
-        # The stream went silent or ended after the request was written. Only the
-        # agent knows what became of it; `not_run` is not true until it says so.
-        give_up_at = min(request.deadline, self._clock() + SETTLE_SECONDS)
-        while (left := give_up_at - self._clock()) > 0:
-            ask = Settle(message.id, message.service, member.incarnation, left)
-            stream = await self._stream(member)
+        # The stream went silent or ended after the request was written, so the request
+        # is in doubt: only the agent knows the outcome. `not_run` may not be reported
+        # until the agent confirms it.
+        give_up_at = min(request.deadline, self._clock() + IN_DOUBT_TIMEOUT_SECONDS)
+        while (remaining := give_up_at - self._clock()) > 0:
+            query = Settle(message.id, message.service, member.incarnation, remaining)
+            stream = await self._open_stream(member)
             reply: AnyMessage | Lost = (
                 stream
                 if isinstance(stream, Lost)
-                else (await stream.call(ask, timeout=left))
+                else (await stream.call(query, timeout=remaining))
             )
             if isinstance(reply, Answer | Refused):
                 return reply
             if not isinstance(reply, Running):
-                await asyncio.sleep(min(SETTLE_PAUSE_SECONDS, left))
+                await asyncio.sleep(min(IN_DOUBT_RETRY_INTERVAL_SECONDS, remaining))
         return Lost(True, "no answer, and the agent can't be asked")
 
-    def _message(
+    def _make_message(
         self, request: CallerRequest, member: Member, request_id: RequestId
     ) -> ServiceRequest:
         return ServiceRequest(
@@ -294,7 +316,7 @@
             request.body,
             0.0,
             member.incarnation,
-            request.key is not None,
+            request.idempotency_key is not None,
             request.idempotent,
         )
 
@@ -305,9 +327,10 @@
             return request.idempotent
         return isinstance(outcome, NotRun)
 
-    def _may_send_again(self, outcome: RequestOutcome, member: Member) -> bool:
-        # What was not run has loaded no endpoint, so trying another takes nothing
-        # from the budget; but one that refuses as well would only be asked in vain.
+    def _take_retry(self, outcome: RequestOutcome, member: Member) -> bool:
+        """Return whether `member` may be tried next; if so, count the retry."""
+        # A request that was not run has put no load on an endpoint, so a retry does not
+        # use the retry budget; but an endpoint that is refusing is not worth trying.
         if isinstance(outcome, NotRun):
             if self.endpoints.record(member.node).refusing(self._clock()):
                 return False
@@ -318,35 +341,36 @@
         self.retries += 1
         return True
 
-    def _final(self, outcome: RequestOutcome) -> RequestOutcome:
-        # Callers told the same second would all come back in it.
+    def _with_jitter(self, outcome: RequestOutcome) -> RequestOutcome:
+        # Jitter: callers given the same wait would all retry at the same moment.
         if isinstance(outcome, NotRun | Rejected):
-            spread = self._random.uniform(*SPREAD)
-            return replace(outcome, retry_after=outcome.retry_after * spread)
+            jitter = self._random.uniform(*RETRY_AFTER_JITTER)
+            return replace(outcome, retry_after=outcome.retry_after * jitter)
         return outcome
 
 
 def _no_endpoint() -> NotRun:
-    return NotRun("no endpoint serves it now", FIRST_RETRY_AFTER_SECONDS)
+    return NotRun("no endpoint serves it now", RETRY_AFTER_SECONDS)
 
 
-def _ask_again(reason: str) -> Rejected:
-    return Rejected(Code.UNAVAILABLE, reason, FIRST_RETRY_AFTER_SECONDS)
+def _unavailable(reason: str) -> Rejected:
+    return Rejected(Code.UNAVAILABLE, reason, RETRY_AFTER_SECONDS)
 
 
-def _is_agents_word(reply: Answer | Refused | Lost) -> bool:
+def _holds_for_earlier_uses(reply: Answer | Refused | Lost) -> bool:
+    """Return whether a reply also decides earlier requests with the same key."""
     if isinstance(reply, Lost):
         return reply.sent
     return isinstance(reply, Answer) or reply.code != Code.UNAVAILABLE.value
 
 
-def _outcome(reply: Answer | Refused | Lost) -> RequestOutcome:
+def _to_outcome(reply: Answer | Refused | Lost) -> RequestOutcome:
     if isinstance(reply, Answer):
         return Answered(reply)
     if isinstance(reply, Lost):
         if reply.sent:
             return OutcomeUnknown(reply.reason)
-        return NotRun(reply.reason, FIRST_RETRY_AFTER_SECONDS)
+        return NotRun(reply.reason, RETRY_AFTER_SECONDS)
     if reply.code in (Code.NOT_RUN.value, Code.UNAVAILABLE.value):
         return NotRun(reply.reason, reply.retry_after)
     if reply.code in (Code.CONFLICT.value, Code.INVALID.value):
--- a/wagtailcleat/entry/watchers.py
+++ b/wagtailcleat/entry/watchers.py
@@ -1,16 +1,16 @@
-"""Watchers: event streams relayed in order, and resumed without a gap.
+"""Relays event streams to watchers in order, and resumes them without a gap.
 
-When an endpoint goes, its stream breaks off, perhaps within an event. Only whole
-events are passed on, and the stream is opened anew at another endpoint with the
-id of the last one passed on, so that the watcher sees neither a gap nor a torn event.
+When an endpoint fails, its stream may end within an event. So only complete events
+are relayed, and the stream is reopened at another endpoint with the id of the last
+relayed event: the watcher receives neither a gap nor a partial event.
 """
 
 import asyncio
 import re
 from dataclasses import replace
 
-from wagtailcleat.entry.context import Callers, CallersHandler
-from wagtailcleat.entry.relay import CallerRequest, WatchOpened
+from wagtailcleat.entry.context import CallersContext, CallersHandler
+from wagtailcleat.entry.relay import CallerRequest, Watch
 from wagtailcleat.headers import LAST_EVENT_ID
 from wagtailcleat.ids import NodeId
 from wagtailcleat.logs import part_logger
@@ -19,36 +19,36 @@
 log = part_logger("watchers")
 
 MAX_EVENT_BYTES = 1024 * 1024
-RESUME_SECONDS = 30.0
-RESUME_PAUSE_SECONDS = 0.2
-OPEN_SECONDS = 3.0
-SLOW_READER_SECONDS = 60.0
-# A line ends with CR LF, LF, or CR; a CR that is the last byte may yet be the
-# first half of CR LF, so it ends no line until the next byte is here.
-LINE = re.compile(rb"[^\r\n]*(?:\r\n|\n|\r(?=[^\n]))")
+RESUME_TIMEOUT_SECONDS = 30.0
+RESUME_RETRY_INTERVAL_SECONDS = 0.2
+OPEN_TIMEOUT_SECONDS = 3.0
+WRITE_TIMEOUT_SECONDS = 60.0
+# A line ends with CR LF, LF or CR. A CR that is the last byte received may be the
+# first half of CR LF, so it does not end the line until the next byte is received.
+LINE_PATTERN = re.compile(rb"[^\r\n]*(?:\r\n|\n|\r(?=[^\n]))")
 
 
-class EventCutter:
-    """Cuts a byte stream into whole events, and keeps the last one's id."""
+class EventSplitter:
+    """Splits a byte stream into complete events, and keeps the id of the last one."""
 
     def __init__(self, last_id: str) -> None:
-        """Begin after the event `last_id`."""
+        """Start after the event `last_id`; empty if there is none."""
         self.last_id = last_id
-        self._rest = b""
-        self._read = 0
+        self._buffer = b""
+        self._scanned_bytes = 0
         self._id_of_event: str | None = None
         self._in_event = False
 
     def feed(self, data: bytes) -> bytes:
-        """Return all events, and comments between them, that `data` completed."""
-        self._rest += data
-        whole = 0
-        while found := LINE.match(self._rest, self._read):
-            self._read = found.end()
+        """Return the events, and comments between them, that `data` completes."""
+        self._buffer += data
+        complete = 0
+        while found := LINE_PATTERN.match(self._buffer, self._scanned_bytes):
+            self._scanned_bytes = found.end()
             if self._ends_event(found.group().rstrip(b"\r\n")):
-                whole = self._read
-        events, self._rest = self._rest[:whole], self._rest[whole:]
-        self._read -= whole
+                complete = self._scanned_bytes
+        events, self._buffer = self._buffer[:complete], self._buffer[complete:]
+        self._scanned_bytes -= complete
         return events
 
     def _ends_event(self, line: bytes) -> bool:
@@ -65,71 +65,72 @@
         self._in_event, self._id_of_event = False, None
         return True
 
-    def too_large(self) -> bool:
-        """Tell whether an event is longer than this process holds."""
-        return len(self._rest) > MAX_EVENT_BYTES
+    def is_too_large(self) -> bool:
+        """Return whether the incomplete event exceeds `MAX_EVENT_BYTES`."""
+        return len(self._buffer) > MAX_EVENT_BYTES
 
-    def drop_rest(self) -> None:
-        """Forget a torn event: it comes whole after the resume."""
-        self._rest, self._read = b"", 0
+    def discard_partial_event(self) -> None:
+        """Discard a partial event; it is received complete after the resume."""
+        self._buffer, self._scanned_bytes = b"", 0
         self._in_event, self._id_of_event = False, None
 
 
 async def relay_events(
     handler: CallersHandler,
-    callers: Callers,
+    callers: CallersContext,
     request: CallerRequest,
-    opened: WatchOpened,
+    watch: Watch,
 ) -> None:
-    """Pass events on until the endpoint ends them, or the watcher is gone.
+    """Relay events until the endpoint ends the stream or the watcher disconnects.
 
-    A drain of this process ends them too, between two events.
+    A drain of this process also ends the stream, between two events.
     """
-    relaying = asyncio.create_task(_relay(handler, callers, request, opened))
-    ends = [
-        asyncio.create_task(callers.state.watchers_end.wait()),
-        asyncio.create_task(handler.gone.wait()),
+    relaying = asyncio.create_task(_relay_and_resume(handler, callers, request, watch))
+    end_events = [
+        asyncio.create_task(callers.state.stop_watchers.wait()),
+        asyncio.create_task(handler.disconnected.wait()),
     ]
     try:
-        await asyncio.wait([relaying, *ends], return_when=asyncio.FIRST_COMPLETED)
+        await asyncio.wait([relaying, *end_events], return_when=asyncio.FIRST_COMPLETED)
     finally:
-        for task in (relaying, *ends):
+        for task in (relaying, *end_events):
             task.cancel()
-        await asyncio.gather(relaying, *ends, return_exceptions=True)
+        await asyncio.gather(relaying, *end_events, return_exceptions=True)
 
 
-async def _relay(
+async def _relay_and_resume(
     handler: CallersHandler,
-    callers: Callers,
+    callers: CallersContext,
     request: CallerRequest,
-    opened: WatchOpened,
+    watch: Watch,
 ) -> None:
-    cutter = EventCutter(handler.request.headers.get(LAST_EVENT_ID, ""))
-    watch: WatchOpened | None = opened
-    while watch is not None:
+    splitter = EventSplitter(handler.request.headers.get(LAST_EVENT_ID, ""))
+    current: Watch | None = watch
+    while current is not None:
         try:
-            ended = await _pass_on(handler, cutter, watch)
+            is_complete = await _relay_events_of(handler, splitter, current)
         finally:
-            callers.relay.give_up(watch)
-        if ended:
+            callers.relay.cancel_watch(current)
+        if is_complete:
             return
-        cutter.drop_rest()
-        watch = await _resume(callers, request, cutter.last_id, watch.member.node)
+        splitter.discard_partial_event()
+        current = await _resume(callers, request, splitter.last_id, current.member.node)
 
 
-async def _pass_on(
-    handler: CallersHandler, cutter: EventCutter, watch: WatchOpened
+async def _relay_events_of(
+    handler: CallersHandler, splitter: EventSplitter, watch: Watch
 ) -> bool:
     async for item in watch.parts:
         if isinstance(item, Part):
-            events = cutter.feed(item.data)
+            events = splitter.feed(item.data)
             if events:
                 handler.write(events)
-                async with asyncio.timeout(SLOW_READER_SECONDS):
+                async with asyncio.timeout(WRITE_TIMEOUT_SECONDS):
                     await handler.flush()
-            if cutter.too_large():
+            if splitter.is_too_large():
                 log.warning(
-                    "An event is too large", extra={"path": handler.request.path}
+                    "An event exceeds the size limit; its stream is closed",
+                    extra={"path": handler.request.path},
                 )
                 return True
         elif isinstance(item, PartsEnd):
@@ -140,21 +141,23 @@
 
 
 async def _resume(
-    callers: Callers, request: CallerRequest, last_id: str, lost: NodeId
-) -> WatchOpened | None:
+    callers: CallersContext, request: CallerRequest, last_id: str, failed_node: NodeId
+) -> Watch | None:
     headers = [(k, v) for k, v in request.headers if k.lower() != LAST_EVENT_ID.lower()]
     if last_id:
         headers.append((LAST_EVENT_ID, last_id))
-    give_up_at = callers.clock() + RESUME_SECONDS
-    tried = {lost}
+    give_up_at = callers.clock() + RESUME_TIMEOUT_SECONDS
+    tried = {failed_node}
     while callers.clock() < give_up_at:
-        again = replace(
-            request, headers=headers, deadline=callers.clock() + OPEN_SECONDS
+        resumed = replace(
+            request, headers=headers, deadline=callers.clock() + OPEN_TIMEOUT_SECONDS
         )
-        opened = await callers.relay.open_watch(again, tried)
-        if isinstance(opened, WatchOpened):
-            log.info("A watcher was resumed", extra={"on": opened.member.node})
-            return opened
+        watch = await callers.relay.open_watch(resumed, tried)
+        if isinstance(watch, Watch):
+            log.info(
+                "A watcher's event stream was resumed", extra={"on": watch.member.node}
+            )
+            return watch
         tried = set()
-        await asyncio.sleep(RESUME_PAUSE_SECONDS)
+        await asyncio.sleep(RESUME_RETRY_INTERVAL_SECONDS)
     return None
