--- a/features/operator/history.feature
+++ b/features/operator/history.feature
@@ -1,11 +1,11 @@
-Feature: Records of changes are bounded at the size that the system is meant for
+Feature: Records of changes are limited in size at the largest supported inventory
 
-  An operator sends a new inventory of 1,100 VMs, then changes one of them. Were each
-  record as large as what it replaced, the 200 that are kept would fill the store and
-  every change would read them all. What was cut must be told as not known, never as
-  no difference.
+  An operator sends a new inventory of 1,100 VMs, then changes one of them. If each
+  record were as large as the configuration it replaced, the 200 records that are kept
+  would fill the store, and every change would read them all. A difference that was
+  truncated must be reported as not known, never as no difference.
 
-  Scenario: A record of a large change is cut, and says so
+  Scenario: The record of a large change is truncated, and marked as truncated
     Given an inventory of 1100 VMs as revision 1
     When each VM's rack is changed as revision 2
     And one VM's cores are changed as revision 3
--- a/features/operator/settings.feature
+++ b/features/operator/settings.feature
@@ -13,7 +13,7 @@
       """
     When "wagtailcleat.entry.app" is started with it
     Then it ends with 78 and has opened nothing
-    And these lines are told, each after the file's name
+    And these lines are printed, each after the file's name
       | line                                                                  |
       | $.node: 'Entry 1' is not a name of a-z, 0-9 and -, at most 63 characters |
       | $.secret: Expected `str` of length >= 16                              |
@@ -39,7 +39,7 @@
       """
     When "wagtailcleat.agent.app" is started with it
     Then it ends with 78 and has opened nothing
-    And these lines are told, each after the file's name
+    And these lines are printed, each after the file's name
       | line                                                                        |
       | $.worker: '10.0.0.1:7001' is not an address like http://10.0.0.1:7001 |
       | $.shards: Expected `int` >= 1                                               |
@@ -51,7 +51,7 @@
     Given a settings file whose callers' port is taken
     When "wagtailcleat.entry.app" is started with it
     Then it ends with 71 and has opened nothing
-    And it tells "another process may use the port"
+    And it prints "another process may use the port"
 
   Scenario: Good settings pass the check
     Given a settings file
--- a/features/steps/operator_bad_input_steps.py
+++ b/features/steps/operator_bad_input_steps.py
@@ -1,4 +1,4 @@
-"""Steps on bad input at the operators' port and in files."""
+"""Steps with invalid input at the operators' port and in files."""
 
 import random
 from pathlib import Path
@@ -15,24 +15,24 @@
 from wagtailcleat.settings import AgentSettings, EntrySettings, load
 
 EXAMPLES = Path(__file__).resolve().parent.parent.parent / "examples"
-KIND_BY_FILE = {
+TYPE_BY_FILE_NAME = {
     "inventory.json": Inventory,
     "rules.json": Rules,
     "job.json": Submission,
     "agent.json": AgentSettings,
     "entry.json": EntrySettings,
 }
-PROBLEMS_BY_KIND = {Inventory: inventory_problems, Rules: rules_problems}
-# A base revision that does not exist: even a whole change is not applied.
-CHANGE = b'{"base_revision": 999, "change_id": "x", "inventory": {}, "rules": {}}'
-HEAD = b" HTTP/1.1\r\nHost: e\r\nAuthorization: Bearer " + ADMIN_TOKEN.encode()
-LENGTH = b"\r\nContent-Length: %d\r\n\r\n" % len(CHANGE)
+FIND_PROBLEMS_BY_TYPE = {Inventory: inventory_problems, Rules: rules_problems}
+# The base revision does not exist, so even a valid change is not applied.
+CHANGE_BODY = b'{"base_revision": 999, "change_id": "x", "inventory": {}, "rules": {}}'
+HEADERS = b" HTTP/1.1\r\nHost: e\r\nAuthorization: Bearer " + ADMIN_TOKEN.encode()
+CONTENT_LENGTH = b"\r\nContent-Length: %d\r\n\r\n" % len(CHANGE_BODY)
 REQUESTS = [
-    b"PUT /admin/configuration" + HEAD + LENGTH + CHANGE,
-    b"PUT /admin/configuration?dry_run=true" + HEAD + LENGTH + CHANGE,
-    b"GET /admin/nodes" + HEAD + b"\r\n\r\n",
-    b"GET /admin/state/entry-1" + HEAD + b"\r\n\r\n",
-    b"POST /admin/zones/no-such-zone/out" + HEAD + b"\r\nContent-Length: 0\r\n\r\n",
+    b"PUT /admin/configuration" + HEADERS + CONTENT_LENGTH + CHANGE_BODY,
+    b"PUT /admin/configuration?dry_run=true" + HEADERS + CONTENT_LENGTH + CHANGE_BODY,
+    b"GET /admin/nodes" + HEADERS + b"\r\n\r\n",
+    b"GET /admin/state/entry-1" + HEADERS + b"\r\n\r\n",
+    b"POST /admin/zones/no-such-zone/out" + HEADERS + b"\r\nContent-Length: 0\r\n\r\n",
     b"GET /metrics HTTP/1.1\r\nHost: e\r\nAuthorization: Bearer x\r\n\r\n",
 ]
 
@@ -43,47 +43,47 @@
     port = context.cluster.entry.ready["admin_port"]
     messages = [mutated(rng, rng.choice(REQUESTS)) for _ in range(count)]
 
-    async def act(number):
+    async def send(number):
         return await send_raw(port, messages[number])
 
-    context.answers = with_good_calls(context, in_parallel(count, act))
+    context.answers = with_good_calls(context, in_parallel(count, send))
 
 
 @then("the configuration in force is still revision {revision:d}")
 def step_revision(context, revision):
-    seen = context.cluster.admin("GET", "/admin/configuration").json()
-    assert seen["revision"] == revision, seen["revision"]
+    configuration = context.cluster.admin("GET", "/admin/configuration").json()
+    assert configuration["revision"] == revision, configuration["revision"]
 
 
-@when("{count:d} fuzzed documents are read as what they were before")
+@when("{count:d} fuzzed documents are parsed as their original types")
 def step_fuzz_documents(context, count):
     rng = random.Random("documents")
-    texts = {name: (EXAMPLES / name).read_bytes() for name in KIND_BY_FILE}
-    context.taken = context.refused = 0
-    context.nameless = []
+    texts = {name: (EXAMPLES / name).read_bytes() for name in TYPE_BY_FILE_NAME}
+    context.accepted = context.refused = 0
+    context.problems_without_path = []
     for _ in range(count):
         name = rng.choice(sorted(texts))
         text = mutated(rng, texts[name])
         try:
-            _read(context, KIND_BY_FILE[name], text)
-            context.taken += 1
+            _parse(context, TYPE_BY_FILE_NAME[name], text)
+            context.accepted += 1
         except SettingsError as error:
             context.refused += 1
-            context.nameless += [p for p in error.problems if "$" not in p]
+            context.problems_without_path += [p for p in error.problems if "$" not in p]
 
 
-def _read(context, kind, text):
-    if kind in (AgentSettings, EntrySettings):
-        return load(_Text(text), kind)
-    value = convert(read_json(text), kind)
-    found = PROBLEMS_BY_KIND.get(kind, lambda _: [])(value)
-    if found:
-        raise SettingsError(found)
+def _parse(context, document_type, text):
+    if document_type in (AgentSettings, EntrySettings):
+        return load(_InMemoryFile(text), document_type)
+    value = convert(read_json(text), document_type)
+    problems = FIND_PROBLEMS_BY_TYPE.get(document_type, lambda _: [])(value)
+    if problems:
+        raise SettingsError(problems)
     return value
 
 
-class _Text:
-    """Text that reads as a settings file does."""
+class _InMemoryFile:
+    """An in-memory replacement for the path of a settings file."""
 
     def __init__(self, text):
         self._text = text
@@ -92,8 +92,8 @@
         return self._text
 
 
-@then("each was taken whole or refused with problems that name a path")
+@then("each was accepted as a whole or refused with problems that name a path")
 def step_refused(context):
-    assert not context.nameless, context.nameless[:5]
-    assert context.taken > 100, context.taken
+    assert not context.problems_without_path, context.problems_without_path[:5]
+    assert context.accepted > 100, context.accepted
     assert context.refused > 1000, context.refused
--- a/features/steps/operator_history_steps.py
+++ b/features/steps/operator_history_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the records of changes."""
+"""Steps on the records of configuration changes."""
 
 import msgspec
 from behave import given, then, when
@@ -63,8 +63,8 @@
 
 @then('the difference between revisions {base:d} and {revision:d} is "{text}"')
 def step_difference(context, base, revision, text):
-    seen = [
+    shown = [
         f"{c.part}: {c.before['cores']} -> {c.after['cores']} cores"
         for c in _changes(context, base)
     ]
-    assert seen == [text], seen
+    assert shown == [text], shown
--- a/features/steps/operator_identity_steps.py
+++ b/features/steps/operator_identity_steps.py
@@ -1,4 +1,4 @@
-"""Steps on processes of the same name."""
+"""Steps on two processes with the same node name."""
 
 import json
 import subprocess
@@ -8,8 +8,8 @@
 
 from standins.processes import ROOT, Process, wait_for
 
-PATIENCE_SECONDS = 15
-AGENT = "wagtailcleat.agent.app"
+TIMEOUT_SECONDS = 15
+AGENT_MODULE = "wagtailcleat.agent.app"
 
 
 def _incarnation(context, node):
@@ -21,46 +21,56 @@
 def step_copy(context, node):
     settings = json.loads((context.cluster.folder / f"{node}.json").read_text())
     settings |= {"peer_port": 0, "http_port": 0}
-    context.copy = context.cluster.folder / "copy.json"
-    context.copy.write_text(json.dumps(settings))
-    context.before = _incarnation(context, node)
+    context.copied_settings = context.cluster.folder / "copy.json"
+    context.copied_settings.write_text(json.dumps(settings))
+    context.known_incarnation = _incarnation(context, node)
 
 
-@then('it ends with {code:d} and tells "{text}"')
+@then('it ends with {code:d} and prints "{text}"')
 def step_refused(context, code, text):
-    command = [sys.executable, "-m", AGENT, "--settings", str(context.copy)]
+    command = [
+        sys.executable,
+        "-m",
+        AGENT_MODULE,
+        "--settings",
+        str(context.copied_settings),
+    ]
     ended = subprocess.run(
         command,
         cwd=ROOT,
         capture_output=True,
         text=True,
         check=False,
-        timeout=PATIENCE_SECONDS,
+        timeout=TIMEOUT_SECONDS,
     )
     assert ended.returncode == code, ended
     assert text in ended.stderr and "ready" not in ended.stdout, ended
 
 
-@then('the first "{node}" is still the one that the entries know')
-def step_still(context, node):
-    assert context.before is not None
-    assert _incarnation(context, node) == context.before
+@then('the entries still know the first "{node}"')
+def step_still_known(context, node):
+    assert context.known_incarnation is not None
+    assert _incarnation(context, node) == context.known_incarnation
 
 
 @when('the first "{node}" is killed')
 def step_kill(context, node):
-    context.first = context.before
+    context.killed_incarnation = context.known_incarnation
     context.cluster.agent_by_vm["vm-1"].kill()
 
 
-@then("it serves, and the entries know it by its new incarnation")
-def step_serves(context):
-    arguments = ["--settings", str(context.copy)]
-    process = Process("copy", context.cluster.folder, AGENT, arguments)
+@then("it starts, and the entries know its new incarnation")
+def step_new_incarnation_known(context):
+    arguments = ["--settings", str(context.copied_settings)]
+    process = Process("copy", context.cluster.folder, AGENT_MODULE, arguments)
     context.add_cleanup(process.close)
 
-    def known():
+    def new_incarnation():
         incarnation = _incarnation(context, "agent-vm-1")
-        return incarnation if incarnation not in (None, context.first) else None
+        return (
+            incarnation
+            if incarnation not in (None, context.killed_incarnation)
+            else None
+        )
 
-    wait_for(known, PATIENCE_SECONDS, "the new process is known")
+    wait_for(new_incarnation, TIMEOUT_SECONDS, "the new process is known")
--- a/features/steps/operator_steps.py
+++ b/features/steps/operator_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the operators' command line and port."""
+"""Steps on the operators' command line and port, and the settings of daemons."""
 
 import json
 import os
@@ -17,9 +17,13 @@
 from standins.processes import ROOT, HttpError, http, wait_for
 from wagtailcleat.introspection import Introspection
 
-PATIENCE_SECONDS = 15
-START_SECONDS = 20
-TOKEN_BY_WORD = {"none": "", "wrong": "Bearer wrong", "right": f"Bearer {ADMIN_TOKEN}"}
+TIMEOUT_SECONDS = 15
+START_TIMEOUT_SECONDS = 20
+AUTHORIZATION_BY_TOKEN_KIND = {
+    "none": "",
+    "wrong": "Bearer wrong",
+    "right": f"Bearer {ADMIN_TOKEN}",
+}
 CONFIGURATION_KEY = "/wagtailcleat/configuration"
 
 
@@ -52,7 +56,7 @@
 def step_applied(context):
     answer = context.cluster.apply()
     assert answer.status == 200, answer
-    wait_for(lambda: _in_force(context) == [1] * 3, PATIENCE_SECONDS, "in force")
+    wait_for(lambda: _in_force(context) == [1] * 3, TIMEOUT_SECONDS, "in force")
 
 
 def _in_force(context):
@@ -64,16 +68,13 @@
     return context.cluster.entry_by_node[f"entry-{number}"]
 
 
-# ---- the command line
-
-
 @when('the operator runs "{line}"')
 def step_run(context, line):
     context.ended = context.terminal.run(line)
 
 
 @then("it ends with {code:d}")
-def step_code(context, code):
+def step_exit_code(context, code):
     assert context.ended.code == code, context.ended
 
 
@@ -82,9 +83,6 @@
     assert text in context.ended.out + context.ended.err, context.ended
 
 
-# ---- changes and faults
-
-
 @when(
     'zone "{zone}" is moved "{direction}" with change id "{change}" through entry {n:d}'
 )
@@ -101,16 +99,16 @@
 
 @then("revision {revision:d} is accepted, with no zone out")
 def step_accepted(context, revision):
-    def accepted():
+    def stored_configuration():
         answer = context.cluster.admin("GET", "/admin/configuration")
         return answer.json() if answer.status == 200 else None
 
-    shown = wait_for(accepted, PATIENCE_SECONDS, "the store answers")
+    shown = wait_for(stored_configuration, TIMEOUT_SECONDS, "the store answers")
     assert (shown["revision"], shown["zones_out"]) == (revision, []), shown
 
 
 @given('the store loses the next answer to a write of "{key}"')
-def step_lose(context, key):
+def step_lose_answer(context, key):
     context.cluster.store.faults(lose_answers=1, lose_answers_matching=key)
 
 
@@ -142,15 +140,12 @@
     context.cluster.freeze_vm(vm)
 
 
-# ---- the operators' port
-
-
 @then("these calls are refused")
 def step_refused(context):
     for row in context.table:
         port = "admin_port" if row["port"] == "admin" else "http_port"
         url = f"http://127.0.0.1:{context.cluster.entry.ready[port]}{row['path']}"
-        headers = {"Authorization": TOKEN_BY_WORD[row["token"]]}
+        headers = {"Authorization": AUTHORIZATION_BY_TOKEN_KIND[row["token"]]}
         answer = http(row["method"], url, headers=headers)
         seen = (str(answer.status), answer.json()["code"])
         assert seen == (row["status"], row["code"]), (row, answer)
@@ -162,7 +157,7 @@
     try:
         answer = context.cluster.admin("PUT", "/admin/configuration", body)
     except HttpError:
-        # The server answers and closes while the body is still being sent.
+        # The server may answer and close the connection while the body is being sent.
         return
     assert 400 <= answer.status < 500, answer
 
@@ -173,10 +168,7 @@
     assert shown["revision"] == 0, shown
 
 
-# ---- metrics and dumps
-
-
-def _families(context, process):
+def _metric_families(context, process):
     if process == "agent":
         url = context.cluster.agent_by_vm["vm-1"].url
         text = http("GET", f"{url}/metrics").body.decode()
@@ -185,18 +177,20 @@
     return list(text_string_to_metric_families(text))
 
 
-@then("the agent and the entry show these metrics")
+@then("the agent and the entry export these metrics")
 def step_metrics(context):
     for row in context.table:
-        names = sorted(family.name for family in _families(context, row["process"]))
+        names = sorted(
+            family.name for family in _metric_families(context, row["process"])
+        )
         expected = [f"wagtailcleat_{name}" for name in row["metrics"].split()]
         assert names == expected, names
 
 
-@then('no metric\'s label is one of "{word}"')
+@then('no metric has a label with "{word}"')
 def step_labels(context, word):
     for process in ("agent", "entry"):
-        for family in _families(context, process):
+        for family in _metric_families(context, process):
             for sample in family.samples:
                 assert word not in str(sample.labels), sample
 
@@ -225,15 +219,17 @@
 
 @then('its standard error shows a state dump of "{node}"')
 def step_dumped(context, node):
-    def dumped():
+    def read_dumps():
         lines = context.agent.stderr.read_text().splitlines()
         return [json.loads(line) for line in lines if line.startswith('{"node"')]
 
-    found = wait_for(dumped, PATIENCE_SECONDS, "a dump is written")
-    assert found[0]["node"] == node, found[0]
+    dumps = wait_for(read_dumps, TIMEOUT_SECONDS, "a dump is written")
+    assert dumps[0]["node"] == node, dumps[0]
 
 
-@then("each section of the agent's and the entry's dump stands in docs/OPERATIONS.md")
+@then(
+    "each section of the agent's and the entry's dump is listed in docs/OPERATIONS.md"
+)
 def step_sections(context):
     page = (ROOT / "docs" / "OPERATIONS.md").read_text()
     for node in ("agent-vm-1", "entry-1"):
@@ -242,10 +238,7 @@
         assert not missing, missing
 
 
-# ---- settings of the daemons
-
-
-def _folder(context):
+def _temporary_folder(context):
     folder = tempfile.TemporaryDirectory()
     context.add_cleanup(folder.cleanup)
     return Path(folder.name)
@@ -253,12 +246,12 @@
 
 @given("a settings file")
 def step_settings(context):
-    context.settings = _folder(context) / "settings.json"
+    context.settings = _temporary_folder(context) / "settings.json"
     context.settings.write_text(context.text)
 
 
 @given("a settings file whose callers' port is taken")
-def step_taken(context):
+def step_port_in_use(context):
     taken = socket.create_server(("127.0.0.1", 0))
     context.add_cleanup(taken.close)
     settings = {
@@ -269,7 +262,7 @@
         "store": ["http://127.0.0.1:1"],
         "http_port": taken.getsockname()[1],
     }
-    context.settings = _folder(context) / "settings.json"
+    context.settings = _temporary_folder(context) / "settings.json"
     context.settings.write_text(json.dumps(settings))
 
 
@@ -291,7 +284,7 @@
         capture_output=True,
         text=True,
         check=False,
-        timeout=START_SECONDS,
+        timeout=START_TIMEOUT_SECONDS,
     )
 
 
@@ -301,13 +294,13 @@
     assert "ready" not in context.started.stdout, context.started
 
 
-@then("these lines are told, each after the file's name")
+@then("these lines are printed, each after the file's name")
 def step_lines(context):
-    told = context.started.stderr.splitlines()
+    printed = context.started.stderr.splitlines()
     expected = {f"{context.settings}: {row['line']}" for row in context.table}
-    assert set(told) == expected, told
+    assert set(printed) == expected, printed
 
 
-@then('it tells "{text}"')
-def step_tells(context, text):
+@then('it prints "{text}"')
+def step_prints(context, text):
     assert text in context.started.stderr, context.started
