--- a/features/steps/late_words_steps.py
+++ b/features/steps/late_words_steps.py
@@ -4,7 +4,7 @@
 
 from features.steps.scheduling_world import make_job, plain
 from wagtailcleat.platform.exchange import Reply
-from wagtailcleat.platform.runs import _run_list
+from wagtailcleat.platform.runs import _parse_run_list
 from wagtailcleat.scheduling.models import (
     JobRecord,
     JobState,
@@ -198,7 +198,7 @@
 def step_whole(context, most, more):
     for count, is_whole in ((most, True), (more, False)):
         body = {"clockMs": 1000, "running": [], "finished": _end_rows(count)}
-        answer = _run_list(Reply(200, body))
+        answer = _parse_run_list(Reply(200, body))
         assert answer.ends_whole is is_whole, count
 
 
--- a/features/steps/platform_adapter_steps.py
+++ b/features/steps/platform_adapter_steps.py
@@ -17,10 +17,10 @@
 from wagtailcleat.ids import JobId, ServiceName
 from wagtailcleat.logs import BoundedOutput
 from wagtailcleat.operator.explain import missing, read_story, tell
-from wagtailcleat.platform.exchange import Exchange, NoAnswer, Reply
+from wagtailcleat.platform.exchange import HttpClient, NoAnswer, Reply
 from wagtailcleat.platform.fields import BodyError
 from wagtailcleat.platform.heartbeats import decode_heartbeat
-from wagtailcleat.platform.runs import _run_list
+from wagtailcleat.platform.runs import _parse_run_list
 from wagtailcleat.platform.submissions import decode_job
 from wagtailcleat.scheduling.queues import Queue
 
@@ -104,18 +104,18 @@
 def step_list(context, milliseconds, seconds):
     row = ["00ff.0.1.17", 2, "", 100, milliseconds]
     body = {"clockMs": 1000, "running": [row], "finished": [], "born": 7}
-    listed = _run_list(Reply(200, body))
+    listed = _parse_run_list(Reply(200, body))
     assert listed.running[0].figure == seconds, listed
     assert listed.running[0].key.task == ("00ff", 0, 1, 17), listed
 
 
 def _call(port):
     async def call():
-        exchange = Exchange(f"127.0.0.1:{port}")
+        client = HttpClient(f"127.0.0.1:{port}")
         try:
-            return await exchange.call("POST", "/hold", {}, timeout=CALL_SECONDS)
+            return await client.call("POST", "/hold", {}, timeout=CALL_SECONDS)
         finally:
-            exchange.close()
+            client.close()
 
     return call()
 
--- a/standins/in_process_agents.py
+++ b/standins/in_process_agents.py
@@ -203,10 +203,10 @@
         async def call(path: str, body: dict[str, Any], bucket: Any) -> Any:
             await asyncio.sleep(LATENCY_SECONDS)
             if self.store_down:
-                store._circuit.failed(self.loop.time())
+                store._circuit_breaker.record_failure(self.loop.time())
                 return Unavailable("down")
             answer, wrote = self._store_answer(path, body)
-            store._circuit.succeeded()
+            store._circuit_breaker.record_success()
             await asyncio.sleep(LATENCY_SECONDS)
             if wrote and self.lost_answers:
                 self.lost_answers -= 1
--- a/standins/in_process_store.py
+++ b/standins/in_process_store.py
@@ -8,7 +8,7 @@
 from standins.keyspace import Keyspace
 from standins.store_messages import TxnRequest
 from standins.transactions import run_txn
-from wagtailcleat.platform.store import _after, _txn_body
+from wagtailcleat.platform.store import _range_end, _txn_body
 from wagtailcleat.storage import (
     Absent,
     Conflict,
@@ -49,7 +49,7 @@
         await asyncio.sleep(LATENCY_SECONDS)
         if self.down:
             return Unavailable("down")
-        kvs = self.keyspace.range(prefix.encode(), _after(prefix))
+        kvs = self.keyspace.range(prefix.encode(), _range_end(prefix))
         found = [Found(kv.key.decode(), kv.value, kv.mod_revision) for kv in kvs]
         return Listing(found, self.keyspace.revision)
 
--- a/wagtailcleat/platform/advice.py
+++ b/wagtailcleat/platform/advice.py
@@ -1,57 +1,63 @@
-"""Client of the service that knows which workers may run a step."""
+"""Client of the advice service, which grants tickets to run a step on a worker.
+
+The leader asks it about the steps of advised queues.
+"""
 
 from dataclasses import dataclass
 
-from wagtailcleat.platform.exchange import Exchange, Reply
-from wagtailcleat.platform.fields import BodyError, number, rows
+from wagtailcleat.platform.exchange import HttpClient, Reply
+from wagtailcleat.platform.fields import BodyError, get_list, get_number
 from wagtailcleat.scheduling.advice import Question
 
 OK = 200
 MILLISECONDS = 1000
-ANSWER_SECONDS = 4.0
-"""Bound of a call: the service takes longer the more workers it is asked about, and
-answers one call of a machine at a time."""
+CALL_TIMEOUT_SECONDS = 4.0
+"""The service takes longer the more workers a call names, and it answers one call of a
+machine at a time."""
 
 
 @dataclass(frozen=True)
 class Granted:
-    """Tickets by worker id, and for how many seconds they hold from the answer."""
+    """Tickets by worker id, valid for `valid_seconds` after the answer."""
 
     ticket_by_worker: dict[str, str]
     valid_seconds: float
 
 
 class AdviceService:
-    """The service at one address."""
+    """Client of the advice service at one address."""
 
     def __init__(self, address: str) -> None:
-        """Call the service at `address`, an `ip:port`."""
-        self._exchange = Exchange(address, max_clients=1)
+        """Create a client of the service at `address`, an `ip:port`."""
+        self._client = HttpClient(address, max_clients=1)
 
     def __repr__(self) -> str:
-        """Show the connection."""
-        return f"<AdviceService {self._exchange}>"
+        """Return a text with the address."""
+        return f"<AdviceService {self._client}>"
 
     def close(self) -> None:
         """Close the connection."""
-        self._exchange.close()
+        self._client.close()
 
     async def ask(self, question: Question) -> Granted | None:
-        """Return what the service grants; None where it gave no answer."""
+        """Return the tickets that the service grants; None without a valid answer."""
         occurrence, number_of_step = question.step
         body = {
             "step": f"{question.job}.{occurrence}.{number_of_step}",
-            "workers": [life.id for life in question.workers],
+            "workers": [worker.id for worker in question.workers],
         }
-        reply = await self._exchange.call(
-            "POST", "/advise", body, timeout=ANSWER_SECONDS
+        reply = await self._client.call(
+            "POST", "/advise", body, timeout=CALL_TIMEOUT_SECONDS
         )
         if not isinstance(reply, Reply) or reply.code != OK:
             return None
         try:
             return Granted(
-                {str(row[0]): str(row[1]) for row in rows(reply.body, "granted")},
-                number(reply.body, "validMs", default=0.0) / MILLISECONDS,
+                {
+                    str(pair[0]): str(pair[1])
+                    for pair in get_list(reply.body, "granted")
+                },
+                get_number(reply.body, "validMs", default=0.0) / MILLISECONDS,
             )
         except (BodyError, IndexError, TypeError):
             return None
--- a/wagtailcleat/platform/circuit.py
+++ b/wagtailcleat/platform/circuit.py
@@ -1,86 +1,92 @@
-"""When to call the store, and how often: a budget and a circuit breaker.
+"""Token bucket and circuit breaker of the store client in `platform.store`.
 
-After an outage everybody would return at once and put the store down again. The
-circuit lets one probe through at a time, after a jittered and growing pause, and
-the budget bounds what a process asks even when all is well.
+Without them, all processes would call the store at once after an outage and overload
+it again. The circuit breaker lets one probe through at a time, after an exponential
+backoff with jitter. The token bucket limits the calls of a process at all times.
 """
 
 import random
 from dataclasses import dataclass, field
 
-FIRST_PAUSE_SECONDS = 0.1
-MAX_PAUSE_SECONDS = 3.0
+BASE_BACKOFF_SECONDS = 0.1
+MAX_BACKOFF_SECONDS = 3.0
 FAILURES_TO_OPEN = 3
 
 
 @dataclass
 class TokenBucket:
-    """Allows `rate` calls a second, and `burst` at once."""
+    """A rate limit of `rate` calls a second, with bursts of up to `burst` calls."""
 
     rate: float
     burst: float
     tokens: float = field(init=False)
-    filled_at: float = field(init=False, default=0.0)
+    refilled_at: float = field(init=False, default=0.0)
 
     def __post_init__(self) -> None:
-        """Start full."""
+        """Fill the bucket."""
         self.tokens = self.burst
 
-    def wait(self, now: float) -> float:
-        """Take a token and return the seconds to wait before using it."""
-        elapsed = max(0.0, now - self.filled_at)
+    def reserve(self, now: float) -> float:
+        """Take a token and return for how many seconds the caller must wait to use it.
+
+        The count may become negative: later callers then wait longer.
+        """
+        elapsed = max(0.0, now - self.refilled_at)
         self.tokens = min(self.burst, self.tokens + elapsed * self.rate)
-        self.filled_at = now
+        self.refilled_at = now
         self.tokens -= 1
         return max(0.0, -self.tokens / self.rate)
 
-    def drain(self) -> None:
-        """Give up what was saved up; calls go on at the rate."""
+    def discard_burst(self) -> None:
+        """Discard all tokens but one, so that calls go on at `rate` without a burst."""
         self.tokens = min(self.tokens, 1.0)
 
     def take(self, now: float) -> bool:
-        """Take a token if there is one now."""
-        if self.wait(now) == 0.0:
+        """Take a token if one is available; return whether it was."""
+        if self.reserve(now) == 0.0:
             return True
         self.tokens += 1
         return False
 
 
 @dataclass
-class Circuit:
-    """Closed while calls succeed; open, with probes, while they fail."""
+class CircuitBreaker:
+    """A circuit breaker: closed while calls succeed, open while they fail.
+
+    While it is open, one call passes as a probe after each backoff.
+    """
 
     random: random.Random
     failures: int = 0
-    open_until: float = 0.0
+    probe_at: float = 0.0
     down_since: float | None = None
 
-    def allows(self, now: float) -> bool:
-        """Tell whether a call may go out; a probe holds back others meanwhile."""
+    def allow(self, now: float) -> bool:
+        """Return whether a call may be sent; a probe blocks others for a backoff."""
         if not self.is_open():
             return True
-        if now < self.open_until:
+        if now < self.probe_at:
             return False
-        self.open_until = now + self._pause()
+        self.probe_at = now + self._backoff_with_jitter()
         return True
 
     def is_open(self) -> bool:
-        """Tell whether calls are held back but for probes."""
+        """Return whether calls other than probes are rejected."""
         return self.failures >= FAILURES_TO_OPEN
 
-    def succeeded(self) -> None:
-        """Note that the store answered."""
+    def record_success(self) -> None:
+        """Record an answer of the store and close the circuit."""
         self.failures = 0
         self.down_since = None
 
-    def failed(self, now: float) -> None:
-        """Note that the store did not answer, or said that it can't."""
+    def record_failure(self, now: float) -> None:
+        """Record that the store did not answer, or answered with an error."""
         self.failures += 1
         if self.down_since is None:
             self.down_since = now
-        self.open_until = now + self._pause()
+        self.probe_at = now + self._backoff_with_jitter()
 
-    def _pause(self) -> float:
+    def _backoff_with_jitter(self) -> float:
         exponent = min(self.failures, 10)
-        longest = min(MAX_PAUSE_SECONDS, FIRST_PAUSE_SECONDS * 2.0**exponent)
-        return longest * self.random.uniform(0.5, 1.0)
+        backoff = min(MAX_BACKOFF_SECONDS, BASE_BACKOFF_SECONDS * 2.0**exponent)
+        return backoff * self.random.uniform(0.5, 1.0)
--- a/wagtailcleat/platform/exchange.py
+++ b/wagtailcleat/platform/exchange.py
@@ -1,4 +1,7 @@
-"""One HTTP exchange with the platform: an answer, or how it failed to come."""
+"""HTTP client for the platform's services; the other clients of this package use it.
+
+A call returns a `Reply`, or a `NoAnswer` that says how it failed.
+"""
 
 import asyncio
 import json
@@ -12,54 +15,59 @@
 from tornado.httpclient import HTTPClientError, HTTPRequest, HTTPResponse
 from tornado.httputil import HTTPHeaders
 
-CONNECT_SECONDS = 0.5
-"""Longer than any round trip of the deployments, shorter than any interval of ours."""
-NEVER_CONNECTED = (pycurl.E_COULDNT_CONNECT,)
-DOWNLOAD_SECONDS = 30.0
-"""Bound of a whole download, however steadily it goes on."""
-SPEED_CHECK_SECONDS = 60
-"""For the library's own check of the speed of a transfer.
-
-While that is on, it calls the progress callback once a second, also for a transfer that
-stands still.
+CONNECT_TIMEOUT_SECONDS = 0.5
+"""Longer than any round trip in the deployments, shorter than any interval at which
+this project makes calls."""
+REFUSED_ERRNOS = (pycurl.E_COULDNT_CONNECT,)
+MAX_DOWNLOAD_SECONDS = 30.0
+"""Limit of a whole download, also of one that keeps making progress."""
+SPEED_CHECK_PERIOD_SECONDS = 60
+"""Period over which libcurl measures the speed of a transfer.
+
+While this check is on, libcurl calls the progress callback once a second, also for a
+stalled transfer.
 """
 
 
 class NoAnswer(Enum):
-    """Why no answer came; what was asked may have been done, or may yet be."""
+    """Why a call got no answer.
+
+    In both cases the request may have been carried out, or may be carried out later.
+    """
 
     REFUSED = "refused"
     """The connection was refused.
 
-    It says nothing of what was asked: on a kept connection that broke, the library
-    sends a request again, and only the second one may have been refused.
+    This does not show that the request was never received: libcurl repeats a request
+    after a reused connection breaks, and perhaps only the repetition was refused.
     """
     LOST = "lost"
+    """Any other failure: a time-out, a broken connection or an unreadable answer."""
 
 
 @dataclass(frozen=True)
 class Reply:
-    """An answer: its code and its body where that is a JSON object."""
+    """An answer: its status code, and its body; {} where that is no JSON object."""
 
     code: int
     body: dict[str, Any]
     headers: HTTPHeaders = field(default_factory=HTTPHeaders)
 
 
-class Exchange:
-    """Calls on kept connections to one address."""
+class HttpClient:
+    """Client of one address that keeps its connections open."""
 
     def __init__(self, address: str, *, max_clients: int = 16) -> None:
-        """Call `address`, an `ip:port`."""
+        """Create a client of `address`, an `ip:port`."""
         self.calls = 0
-        self.failure = ""
-        """Why the last call that got no answer failed, in the library's words."""
+        self.last_error = ""
+        """Error text of the last call that got no answer."""
         self._base = f"http://{address}"
         self._client = CurlAsyncHTTPClient(force_instance=True, max_clients=max_clients)
 
     def __repr__(self) -> str:
-        """Show the address."""
-        return f"<Exchange {self._base}>"
+        """Return a text with the address."""
+        return f"<HttpClient {self._base}>"
 
     def close(self) -> None:
         """Close the connections."""
@@ -74,91 +82,92 @@
         timeout: float,
         headers: dict[str, str] | None = None,
     ) -> Reply | NoAnswer:
-        """Send one request; `timeout` in seconds covers all of it."""
+        """Send one request; `timeout` in seconds covers the whole call."""
         request = HTTPRequest(
             self._base + path,
             method=method,
             body=None if body is None else json.dumps(body),
             headers={"Content-Type": "application/json"} | (headers or {}),
-            connect_timeout=min(CONNECT_SECONDS, timeout),
+            connect_timeout=min(CONNECT_TIMEOUT_SECONDS, timeout),
             request_timeout=timeout,
             allow_nonstandard_methods=True,
         )
         response = await self._fetch(request)
         if isinstance(response, NoAnswer):
             return response
-        return Reply(response.code, _object(response.body), response.headers)
+        return Reply(response.code, _json_object(response.body), response.headers)
 
     async def download(
-        self, path: str, *, silence: float, first: float | None = None
+        self, path: str, *, idle_timeout: float, first_timeout: float | None = None
     ) -> Reply | NoAnswer:
-        """Get an answer that may take long to arrive.
+        """Get a large or slow answer.
 
-        Parameters: `silence` in seconds bounds each wait for more of the answer,
-        `first` the wait for its first part; `silence` where it is not given.
+        Parameters: `idle_timeout` in seconds limits each wait for more of the answer,
+        `first_timeout` the wait for its first part; `idle_timeout` if not given.
         """
         body = bytearray()
-        waiting = True
-        first = silence if first is None else first
+        is_waiting = True
+        first_timeout = idle_timeout if first_timeout is None else first_timeout
         loop = asyncio.get_running_loop()
         try:
-            async with asyncio.timeout(first) as bound:
+            async with asyncio.timeout(first_timeout) as deadline:
 
-                def take(part: bytes) -> None:
-                    if waiting and not bound.expired():
-                        body.extend(part)
-                        bound.reschedule(loop.time() + silence)
+                def on_chunk(chunk: bytes) -> None:
+                    if is_waiting and not deadline.expired():
+                        body.extend(chunk)
+                        deadline.reschedule(loop.time() + idle_timeout)
 
                 request = HTTPRequest(
                     self._base + path,
-                    connect_timeout=min(CONNECT_SECONDS, first),
-                    request_timeout=DOWNLOAD_SECONDS,
-                    streaming_callback=take,
-                    prepare_curl_callback=_while_wanted(lambda: waiting),
+                    connect_timeout=min(CONNECT_TIMEOUT_SECONDS, first_timeout),
+                    request_timeout=MAX_DOWNLOAD_SECONDS,
+                    streaming_callback=on_chunk,
+                    prepare_curl_callback=_abort_unless(lambda: is_waiting),
                 )
-                # Cancelled, the library's own future would log the error that ends it.
+                # If tornado's own future were cancelled, tornado would log the error
+                # that ends the transfer.
                 fetch = asyncio.ensure_future(self._fetch(request))
                 response = await asyncio.shield(fetch)
         except TimeoutError:
-            self.failure = f"silent after {len(body)} bytes"
+            self.last_error = f"no further data after {len(body)} bytes"
             return NoAnswer.LOST
         finally:
-            waiting = False
+            is_waiting = False
         if isinstance(response, NoAnswer):
             return response
-        return Reply(response.code, _object(bytes(body)), response.headers)
+        return Reply(response.code, _json_object(bytes(body)), response.headers)
 
     async def _fetch(self, request: HTTPRequest) -> HTTPResponse | NoAnswer:
         self.calls += 1
         try:
             return await self._client.fetch(request, raise_error=False)
         except HTTPClientError as error:
-            # Raised only where no answer came: one with an error code is an answer.
-            self.failure = str(error)
-            refused = getattr(error, "errno", None) in NEVER_CONNECTED
-            return NoAnswer.REFUSED if refused else NoAnswer.LOST
+            # Raised only if no answer came: an answer with an error code is a Reply.
+            self.last_error = str(error)
+            is_refused = getattr(error, "errno", None) in REFUSED_ERRNOS
+            return NoAnswer.REFUSED if is_refused else NoAnswer.LOST
         except (TimeoutError, OSError) as error:
-            self.failure = str(error)
+            self.last_error = str(error)
             return NoAnswer.LOST
 
 
-def _while_wanted(wanted: Callable[[], bool]) -> Callable[[pycurl.Curl], None]:
-    """Return a callback that lets the library end a transfer that is not wanted."""
+def _abort_unless(is_wanted: Callable[[], bool]) -> Callable[[pycurl.Curl], None]:
+    """Return a callback that makes libcurl abort a transfer nobody waits for."""
 
-    def prepare(handle: pycurl.Curl) -> None:
-        if not wanted():
-            # It was still in the queue of the library.
-            raise TimeoutError("nobody waits for it any more")
+    def configure(handle: pycurl.Curl) -> None:
+        if not is_wanted():
+            # The request was still in tornado's queue.
+            raise TimeoutError("the caller stopped waiting before the request was sent")
         handle.setopt(pycurl.LOW_SPEED_LIMIT, 1)
-        handle.setopt(pycurl.LOW_SPEED_TIME, SPEED_CHECK_SECONDS)
+        handle.setopt(pycurl.LOW_SPEED_TIME, SPEED_CHECK_PERIOD_SECONDS)
         handle.setopt(pycurl.NOPROGRESS, 0)
-        handle.setopt(pycurl.XFERINFOFUNCTION, lambda *_: 0 if wanted() else 1)
+        handle.setopt(pycurl.XFERINFOFUNCTION, lambda *_: 0 if is_wanted() else 1)
 
-    return prepare
+    return configure
 
 
-def _object(body: bytes | None) -> dict[str, Any]:
-    # An error answer may carry no body, or one of something between the two ends.
+def _json_object(body: bytes | None) -> dict[str, Any]:
+    # An error answer may have no body, or the body of a proxy or gateway in between.
     try:
         value = json.loads(body or b"{}")
     except ValueError:
--- a/wagtailcleat/platform/fields.py
+++ b/wagtailcleat/platform/fields.py
@@ -1,4 +1,9 @@
-"""Reading decoded bodies whose fields may be missing or of another type."""
+"""Checked access to JSON bodies whose fields may be missing or of the wrong type.
+
+The clients and servers of this package decode every message with these functions.
+Each `get_` function raises `BodyError` where the field has another type, or where it
+is missing and there is no default.
+"""
 
 import json
 from typing import Any
@@ -7,25 +12,25 @@
 
 
 class BodyError(WagtailcleatError):
-    """A body that can't be read as what it should be."""
+    """A message body that is no JSON object, or has a missing or invalid field."""
 
     code = Code.INVALID
 
 
 MAX_NUMBER = 2**53
-"""Larger numbers are not exact in JSON, and fit into no field of ours."""
+"""Larger integers are not exact in JSON, and no field of this package holds them."""
 
 
-def _sane(value: float) -> bool:
-    # Also false for what is no number (NaN), which Python's JSON reader lets pass.
+def _is_in_range(value: float) -> bool:
+    # Also false for NaN, which Python's JSON parser accepts.
     return 0 <= value <= MAX_NUMBER
 
 
-def read_object(body: bytes) -> dict[str, Any]:
-    """Return a JSON object.
+def parse_object(body: bytes) -> dict[str, Any]:
+    """Parse `body` and return the JSON object.
 
     Raises:
-        BodyError: the bytes are no JSON object.
+        BodyError: `body` is not JSON, or not an object.
 
     """
     try:
@@ -37,52 +42,54 @@
     return value
 
 
-def text(raw: dict[str, Any], name: str, *, default: str | None = None) -> str:
-    """Return a field that is text."""
+def get_text(raw: dict[str, Any], name: str, *, default: str | None = None) -> str:
+    """Return the string field `name`."""
     value = raw.get(name, default)
     if not isinstance(value, str):
         raise BodyError(f"{name}: missing or no text")
     return value
 
 
-def whole(raw: dict[str, Any], name: str, *, default: int | None = None) -> int:
-    """Return a field that is a whole number of 0 or more."""
+def get_integer(raw: dict[str, Any], name: str, *, default: int | None = None) -> int:
+    """Return the integer field `name`, from 0 to `MAX_NUMBER`."""
     value = raw.get(name, default)
-    if isinstance(value, bool) or not isinstance(value, int) or not _sane(value):
+    if isinstance(value, bool) or not isinstance(value, int) or not _is_in_range(value):
         raise BodyError(f"{name}: missing or no whole number of 0 or more")
     return value
 
 
-def number(raw: dict[str, Any], name: str, *, default: float | None = None) -> float:
-    """Return a field that is a number of 0 or more."""
+def get_number(
+    raw: dict[str, Any], name: str, *, default: float | None = None
+) -> float:
+    """Return the number field `name`, from 0 to `MAX_NUMBER`, as a float."""
     value = raw.get(name, default)
     if (
         isinstance(value, bool)
         or not isinstance(value, int | float)
-        or not _sane(value)
+        or not _is_in_range(value)
     ):
         raise BodyError(f"{name}: missing or no number of 0 or more")
     return float(value)
 
 
-def flag(raw: dict[str, Any], name: str) -> bool:
-    """Return a field that is true or false; false where it is missing."""
+def get_boolean(raw: dict[str, Any], name: str) -> bool:
+    """Return the boolean field `name`; False where it is missing."""
     value = raw.get(name, False)
     if not isinstance(value, bool):
         raise BodyError(f"{name}: not true or false")
     return value
 
 
-def rows(raw: dict[str, Any], name: str) -> list[Any]:
-    """Return a field that is a list; empty where it is missing."""
+def get_list(raw: dict[str, Any], name: str) -> list[Any]:
+    """Return the list field `name`; an empty list where it is missing."""
     value = raw.get(name, [])
     if not isinstance(value, list):
         raise BodyError(f"{name}: no list")
     return value
 
 
-def table(raw: dict[str, Any], name: str) -> dict[str, Any]:
-    """Return a field that is an object; empty where it is missing."""
+def get_object(raw: dict[str, Any], name: str) -> dict[str, Any]:
+    """Return the object field `name`; an empty one where it is missing."""
     value = raw.get(name, {})
     if not isinstance(value, dict):
         raise BodyError(f"{name}: no object")
--- a/wagtailcleat/platform/heartbeats.py
+++ b/wagtailcleat/platform/heartbeats.py
@@ -1,4 +1,8 @@
-"""Heartbeats of the worker on this VM, decoded into the product's types."""
+"""HTTP application that receives heartbeats from the worker on this VM.
+
+The agent serves it. Heartbeats and announced departures are decoded into the types of
+`wagtailcleat.scheduling.models`.
+"""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass
@@ -10,12 +14,12 @@
 from wagtailcleat.logs import part_logger
 from wagtailcleat.platform.fields import (
     BodyError,
-    number,
-    read_object,
-    rows,
-    table,
-    text,
-    whole,
+    get_integer,
+    get_list,
+    get_number,
+    get_object,
+    get_text,
+    parse_object,
 )
 from wagtailcleat.resources import Resources
 from wagtailcleat.scheduling.models import WorkerInfo, WorkerState
@@ -24,107 +28,121 @@
 
 MILLISECONDS = 1000
 MILLICORES = 1000
-RACK_LABEL = 1
-"""A worker's labels are its kind and then its rack."""
-STATE_BY_WORD = {"ready": WorkerState.READY, "draining": WorkerState.DRAINING}
+RACK_LABEL_INDEX = 1
+"""Index of the rack in a worker's labels, which are its kind and then its rack."""
+STATE_BY_NAME = {"ready": WorkerState.READY, "draining": WorkerState.DRAINING}
 
 
 @dataclass(frozen=True)
 class Heartbeat:
-    """What a worker says of itself at one moment."""
+    """The state that a worker reports at one moment."""
 
     worker: WorkerInfo
     address: str
-    """`ip:port` at which it takes orders."""
+    """`ip:port` at which the worker accepts calls."""
     sequence: int
-    """Rises with each heartbeat of one life."""
+    """Increases with each heartbeat of one incarnation of the worker."""
     worker_seconds: float
-    """The worker's clock as it sent this."""
+    """The worker's clock in seconds when it sent the heartbeat."""
+
 
+HeartbeatCallback = Callable[[Heartbeat], Awaitable[None]]
+LeaveCallback = Callable[[str, int], Awaitable[None]]
+"""Called with the id of a leaving worker and the birth time of its incarnation.
 
-Beat = Callable[[Heartbeat], Awaitable[None]]
-Leave = Callable[[str, int], Awaitable[None]]
-"""Takes in that a worker leaves, in the life that was born then; 0: it does not say."""
+The birth time is 0 if the message has none.
+"""
 
 
 def decode_heartbeat(instance: str, body: bytes) -> Heartbeat:
-    """Return a worker's heartbeat.
+    """Decode the heartbeat of the worker `instance`.
 
     Raises:
-        BodyError: it names no worker that could be used.
+        BodyError: `body` is not JSON, or a field is missing or invalid.
 
     """
-    raw = read_object(body)
-    word = text(raw, "state")
-    if word not in STATE_BY_WORD:
-        raise BodyError(f"state: '{word}' is not known")
-    labels = tuple(str(label) for label in rows(raw, "labels"))
+    raw = parse_object(body)
+    state_name = get_text(raw, "state")
+    if state_name not in STATE_BY_NAME:
+        raise BodyError(f"state: '{state_name}' is not known")
+    labels = tuple(str(label) for label in get_list(raw, "labels"))
     worker = WorkerInfo(
         instance,
-        whole(raw, "born", default=0),
-        ServiceName(text(raw, "service")),
-        ZoneName(text(raw, "zone")),
-        STATE_BY_WORD[word],
-        _capacity(table(raw, "capacity")),
+        get_integer(raw, "born", default=0),
+        ServiceName(get_text(raw, "service")),
+        ZoneName(get_text(raw, "zone")),
+        STATE_BY_NAME[state_name],
+        _capacity(get_object(raw, "capacity")),
         labels,
-        labels[RACK_LABEL] if len(labels) > RACK_LABEL else "",
-        number(raw, "coldLeftMs", default=0) / MILLISECONDS,
-        number(raw, "remainingMs", default=0) / MILLISECONDS,
+        labels[RACK_LABEL_INDEX] if len(labels) > RACK_LABEL_INDEX else "",
+        get_number(raw, "coldLeftMs", default=0) / MILLISECONDS,
+        get_number(raw, "remainingMs", default=0) / MILLISECONDS,
+    )
+    worker_seconds = get_number(raw, "clockMs", default=0) / MILLISECONDS
+    return Heartbeat(
+        worker, get_text(raw, "addr"), get_integer(raw, "seq"), worker_seconds
     )
-    seconds = number(raw, "clockMs", default=0) / MILLISECONDS
-    return Heartbeat(worker, text(raw, "addr"), whole(raw, "seq"), seconds)
 
 
 def decode_leave(body: bytes) -> int:
-    """Return in which life a worker leaves; 0 where it does not say."""
+    """Return the birth time of the leaving worker's incarnation; 0 if it is unknown."""
     try:
-        return whole(read_object(body), "born", default=0)
+        return get_integer(parse_object(body), "born", default=0)
     except BodyError:
         return 0
 
 
 def _capacity(raw: dict[str, Any]) -> Resources:
     return Resources(
-        number(raw, "cpu", default=0) / MILLICORES,
-        whole(raw, "memMb", default=0),
-        whole(raw, "gpu", default=0),
+        get_number(raw, "cpu", default=0) / MILLICORES,
+        get_integer(raw, "memMb", default=0),
+        get_integer(raw, "gpu", default=0),
     )
 
 
-class _BeatHandler(RequestHandler):
-    def initialize(self, beat: Beat) -> None:
-        self._beat = beat
+class _HeartbeatHandler(RequestHandler):
+    def initialize(self, beat: HeartbeatCallback) -> None:
+        self._on_heartbeat = beat
 
     async def post(self, instance: str) -> None:
         try:
             heartbeat = decode_heartbeat(instance, self.request.body)
         except BodyError as error:
             log.warning(
-                "Unreadable heartbeat",
+                "Heartbeat rejected: the message is invalid",
                 extra={"instance": instance, "why": error.message},
             )
             self.set_status(400)
             self.finish({"error": error.message})
             return
-        await self._beat(heartbeat)
+        await self._on_heartbeat(heartbeat)
         self.finish({})
 
 
 class _LeaveHandler(RequestHandler):
-    def initialize(self, leave: Leave) -> None:
-        self._leave = leave
+    def initialize(self, leave: LeaveCallback) -> None:
+        self._on_leave = leave
 
     async def post(self, instance: str) -> None:
-        await self._leave(instance, decode_leave(self.request.body))
+        await self._on_leave(instance, decode_leave(self.request.body))
         self.finish({})
 
 
-def heartbeat_application(beat: Beat, leave: Leave) -> Application:
-    """Return the HTTP application that the worker calls."""
+def heartbeat_application(
+    on_heartbeat: HeartbeatCallback, on_leave: LeaveCallback
+) -> Application:
+    """Return the HTTP application that the worker calls.
+
+    Parameters: `on_heartbeat` and `on_leave` finish before the worker gets its answer.
+    """
     return Application(
         [
-            (r"/instances/([^/]+)/heartbeat", _BeatHandler, {"beat": beat}),
-            (r"/instances/([^/]+)/leave", _LeaveHandler, {"leave": leave}),
+            (
+                r"/instances/([^/]+)/heartbeat",
+                _HeartbeatHandler,
+                {"beat": on_heartbeat},
+            ),
+            (r"/instances/([^/]+)/leave", _LeaveHandler, {"leave": on_leave}),
         ],
         log_function=lambda handler: None,
     )
--- a/wagtailcleat/platform/keyvalue.py
+++ b/wagtailcleat/platform/keyvalue.py
@@ -1,8 +1,9 @@
-"""Client of the platform's key-value store.
+"""Client of the platform's key-value store; entries and agents of `cluster` use it.
 
-Outcomes are the values of `wagtailcleat.storage`. Each key of a write has a compare
-on its own revision, so a write that is carried out late, or sent twice by the HTTP
-library on a connection that broke, changes nothing that was written meanwhile.
+Calls return the outcomes of `wagtailcleat.storage`: a store that does not answer is a
+value, not an exception. Each key of a write is compared with its expected revision. So
+a write that is carried out late, or that libcurl sends twice after a connection broke,
+does not overwrite newer values.
 """
 
 import asyncio
@@ -13,8 +14,14 @@
 
 from wagtailcleat.clock import Clock
 from wagtailcleat.logs import part_logger
-from wagtailcleat.platform.exchange import Exchange, NoAnswer, Reply
-from wagtailcleat.platform.fields import BodyError, flag, rows, text, whole
+from wagtailcleat.platform.exchange import HttpClient, NoAnswer, Reply
+from wagtailcleat.platform.fields import (
+    BodyError,
+    get_boolean,
+    get_integer,
+    get_list,
+    get_text,
+)
 from wagtailcleat.storage import (
     Absent,
     Changes,
@@ -36,29 +43,30 @@
 NOT_FOUND = 404
 CONDITION_FAILED = 412
 HISTORY_GONE = 410
-TOO_MANY = 429
+TOO_MANY_REQUESTS = 429
 UNAVAILABLE = 503
 MAX_TXN_ENTRIES = 32
-"""Compares, puts and deletes that the store takes in one transaction, all counted."""
-INVALID = (400, 403, 413)
-WATCH_SLACK_SECONDS = 0.5
-"""What a watch may take beyond its waiting time before it counts as silent."""
-PAGE_TRIES = 5
-"""How often a page of a list is asked for, once the first page has come."""
+"""Limit of the store for compares, puts and deletes together in one transaction."""
+INVALID_CODES = (400, 403, 413)
+WATCH_MARGIN_SECONDS = 0.5
+"""Time beyond the requested wait after which an unanswered watch counts as failed."""
+PAGE_ATTEMPTS = 5
+"""Attempts to read a page of a list, after the first page has been read."""
 PAGE_RETRY_SECONDS = 0.2
 
+PROBE_KEY = "wagtailcleat/look"
+PROBE_INTERVAL_SECONDS = 0.25
+"""Interval between probes of a store that does not answer.
 
-LOOK_KEY = "wagtailcleat/look"
-LOOK_SECONDS = 0.25
-"""How often a store that does not answer is asked again: callers are refused
-meanwhile, and each look is a call that is paid for."""
-AWAY_SECONDS = 0.3
-"""How long a failure lasts before it counts as an outage, not as one lost call."""
+Callers are refused until a probe succeeds, but each probe is a call that costs money.
+"""
+OUTAGE_AFTER_SECONDS = 0.3
+"""A failure that lasts this long is an outage; a shorter one may be one lost call."""
 
 
 @dataclass
 class StoreCounts:
-    """Calls of this process by what they were, for the metrics."""
+    """Numbers of calls of this process by kind, for the metrics."""
 
     reads: int = 0
     writes: int = 0
@@ -67,12 +75,12 @@
 
 
 class KeyValueStore:
-    """The platform's store."""
+    """Client of the key-value store."""
 
     def __init__(self, address: str, *, clock: Clock, call_seconds: float) -> None:
-        """Call the store at `address`, an `ip:port`.
+        """Create a client of the store at `address`, an `ip:port`.
 
-        Parameters: `call_seconds` bounds a write, and each wait for more of the
+        Parameters: `call_seconds` limits a write, and each wait for more of the
         answer to a read.
         """
         self.counts = StoreCounts()
@@ -80,36 +88,42 @@
         self.answered_at = 0.0
         self._clock = clock
         self._call_seconds = call_seconds
-        self._exchange = Exchange(address)
-        self._watching = Exchange(address)
+        self._client = HttpClient(address)
+        self._watch_client = HttpClient(address)
 
     def __repr__(self) -> str:
-        """Show whether the store answers."""
+        """Return a text that says whether the store answers."""
         return f"<KeyValueStore {'up' if self.down_since is None else 'down'}>"
 
     def close(self) -> None:
         """Close all connections."""
-        self._exchange.close()
-        self._watching.close()
+        self._client.close()
+        self._watch_client.close()
 
     async def keep_looking(self) -> None:
-        """Ask for an answer now and then while there is none, for ever."""
+        """Probe the store at intervals while it does not answer; never return."""
         while True:
-            await asyncio.sleep(LOOK_SECONDS)
+            await asyncio.sleep(PROBE_INTERVAL_SECONDS)
             if self.down_since is not None:
-                await self.get(LOOK_KEY)
+                await self.get(PROBE_KEY)
 
     def away(self, now: float) -> bool:
-        """Tell whether the store is known not to serve this process at present."""
-        return self.down_since is not None and now - self.down_since >= AWAY_SECONDS
+        """Return whether this process has an outage of the store, at `now` in seconds.
+
+        A failure counts as an outage after `OUTAGE_AFTER_SECONDS`.
+        """
+        return (
+            self.down_since is not None
+            and now - self.down_since >= OUTAGE_AFTER_SECONDS
+        )
 
     async def get(self, key: str) -> Found | Absent | Unavailable:
-        """Return the value of `key`."""
+        """Return the value and revision of `key`."""
         self.counts.reads += 1
         path = "/kv-key?" + urlencode({"key": key})
         reply = await self._read(path)
         if isinstance(reply, Reply) and reply.code == NOT_FOUND:
-            return Absent(whole(reply.body, "storeRevision", default=0))
+            return Absent(get_integer(reply.body, "storeRevision", default=0))
         if isinstance(reply, Reply) and reply.code == OK:
             return _found(reply.body)
         return Unavailable(_reason(reply))
@@ -117,8 +131,8 @@
     async def list(self, prefix: str) -> Listing | Unavailable:
         """Return all keys that begin with `prefix`.
 
-        The pages are no snapshot; `store_revision` is that of the first, so that a
-        watch from there misses nothing.
+        The pages are not one snapshot. `store_revision` is that of the first page, so
+        a watch from there receives all later changes.
         """
         found: list[Found] = []
         revision = 0
@@ -127,10 +141,10 @@
             reply = await self._page(prefix, after)
             if not isinstance(reply, Reply) or not _is_ok(reply):
                 return Unavailable(_reason(reply))
-            revision = revision or whole(reply.body, "storeRevision")
-            page = [_found(item) for item in rows(reply.body, "items")]
+            revision = revision or get_integer(reply.body, "storeRevision")
+            page = [_found(item) for item in get_list(reply.body, "items")]
             found += page
-            if not page or not flag(reply.body, "hasMore"):
+            if not page or not get_boolean(reply.body, "hasMore"):
                 return Listing(found, revision)
             after = page[-1].key
 
@@ -139,74 +153,80 @@
         path = "/kv-range?" + urlencode(query)
         self.counts.reads += 1
         reply = await self._read(path)
-        # A list that is begun anew each time a page is lost may never come to its end.
-        tries = PAGE_TRIES if after else 1
-        while tries > 1 and not _is_ok(reply):
-            tries -= 1
+        # If each lost page restarted the whole list, a long list might never complete.
+        attempts_left = PAGE_ATTEMPTS if after else 1
+        while attempts_left > 1 and not _is_ok(reply):
+            attempts_left -= 1
             await asyncio.sleep(PAGE_RETRY_SECONDS)
             self.counts.reads += 1
             reply = await self._read(path)
         return reply
 
     async def write(self, txn: Txn) -> Written | Conflict | Unknown | Unavailable:
-        """Carry out `txn`, all of it or nothing."""
+        """Carry out `txn` atomically; `Unknown` means that it may take effect later."""
         self.counts.writes += 1
         reply = await self._post("/kv-txn", _txn_body(txn))
         if not isinstance(reply, Reply):
             return Unknown("no answer")
         if reply.code == OK:
-            return Written(whole(reply.body, "rev", default=0))
+            return Written(get_integer(reply.body, "rev", default=0))
         if reply.code == CONDITION_FAILED:
-            items = rows(reply.body, "items")
-            return Conflict(tuple(_found(item) for item in items if _exists(item)))
-        if reply.code in (TOO_MANY, UNAVAILABLE):
+            items = get_list(reply.body, "items")
+            return Conflict(tuple(_found(item) for item in items if _is_present(item)))
+        if reply.code in (TOO_MANY_REQUESTS, UNAVAILABLE):
             return Unavailable(str(reply.code))
-        if reply.code in INVALID:
-            # It will not be taken later either: this is a fault of the caller's.
-            log.error("The store calls a write invalid", extra={"code": reply.code})
+        if reply.code in INVALID_CODES:
+            # A retry would be rejected too: the calling code has a bug.
+            log.error(
+                "The store rejected a write as invalid", extra={"code": reply.code}
+            )
             return Unavailable(str(reply.code))
         return Unknown(str(reply.code))
 
     async def changes(
         self, prefix: str, after: int, *, wait_seconds: float
     ) -> Changes | HistoryGone | Unavailable:
-        """Wait for changes under `prefix` later than revision `after`."""
+        """Wait for changes under `prefix` after revision `after`.
+
+        The store waits up to `wait_seconds` for the first change.
+        """
         self.counts.watches += 1
         query = {
             "prefix": prefix,
             "after": str(after),
             "waitMs": str(int(wait_seconds * 1000)),
         }
-        reply = await self._watching.download(
+        reply = await self._watch_client.download(
             "/kv-watch?" + urlencode(query),
-            first=wait_seconds + WATCH_SLACK_SECONDS,
-            silence=self._call_seconds,
+            first_timeout=wait_seconds + WATCH_MARGIN_SECONDS,
+            idle_timeout=self._call_seconds,
         )
         if isinstance(reply, Reply) and reply.code == HISTORY_GONE:
             return HistoryGone()
         if not isinstance(reply, Reply) or reply.code != OK:
             return Unavailable(_reason(reply))
         try:
-            events = [_event(item) for item in rows(reply.body, "events")]
-            return Changes(events, whole(reply.body, "storeRevision"))
+            events = [_event(item) for item in get_list(reply.body, "events")]
+            return Changes(events, get_integer(reply.body, "storeRevision"))
         except BodyError as error:
             return Unavailable(error.message)
 
     async def _read(self, path: str) -> Reply | NoAnswer:
-        reply = await self._exchange.download(path, silence=self._call_seconds)
-        self._note(f"GET {path}", reply)
+        reply = await self._client.download(path, idle_timeout=self._call_seconds)
+        self._record_reply(f"GET {path}", reply)
         return reply
 
     async def _post(self, path: str, body: dict[str, Any]) -> Reply | NoAnswer:
-        reply = await self._exchange.call(
-            "POST", path, body, timeout=self._call_seconds
-        )
-        self._note(f"POST {path}", reply)
+        reply = await self._client.call("POST", path, body, timeout=self._call_seconds)
+        self._record_reply(f"POST {path}", reply)
         return reply
 
-    def _note(self, call: str, reply: Reply | NoAnswer) -> None:
+    def _record_reply(self, call: str, reply: Reply | NoAnswer) -> None:
         now = self._clock()
-        if isinstance(reply, Reply) and reply.code not in (TOO_MANY, UNAVAILABLE):
+        if isinstance(reply, Reply) and reply.code not in (
+            TOO_MANY_REQUESTS,
+            UNAVAILABLE,
+        ):
             self.answered_at = now
             if self.down_since is not None:
                 seconds = round(now - self.down_since, 3)
@@ -216,7 +236,7 @@
         self.counts.failed += 1
         if self.down_since is None:
             self.down_since = now
-            detail = self._exchange.failure if isinstance(reply, NoAnswer) else ""
+            detail = self._client.last_error if isinstance(reply, NoAnswer) else ""
             fields = {"call": call, "why": _reason(reply), "detail": detail}
             log.warning("The store does not answer", extra=fields)
 
@@ -229,18 +249,18 @@
     return str(reply.code) if isinstance(reply, Reply) else reply.value
 
 
-def _exists(item: dict[str, Any]) -> bool:
-    return whole(item, "rev", default=0) > 0
+def _is_present(item: dict[str, Any]) -> bool:
+    return get_integer(item, "rev", default=0) > 0
 
 
 def _found(item: dict[str, Any]) -> Found:
-    value = base64.b64decode(text(item, "value", default=""))
-    return Found(text(item, "key"), value, whole(item, "rev", default=0))
+    value = base64.b64decode(get_text(item, "value", default=""))
+    return Found(get_text(item, "key"), value, get_integer(item, "rev", default=0))
 
 
 def _event(item: dict[str, Any]) -> Event:
-    if flag(item, "tombstone"):
-        return Event(text(item, "key"), None, whole(item, "rev"))
+    if get_boolean(item, "tombstone"):
+        return Event(get_text(item, "key"), None, get_integer(item, "rev"))
     found = _found(item)
     return Event(found.key, found.value, found.mod_revision)
 
@@ -251,12 +271,12 @@
         for key, value in txn.puts.items()
     ]
     return {
-        "expectRev": [_condition(compare) for compare in txn.compares],
+        "expectRev": [_expected_revision(compare) for compare in txn.compares],
         "setKeys": puts,
         "remove": txn.deletes,
     }
 
 
-def _condition(compare: Compare) -> dict[str, Any]:
+def _expected_revision(compare: Compare) -> dict[str, Any]:
     revision = 0 if compare.absent else compare.mod_revision or 0
     return {"key": compare.key, "rev": revision}
--- a/wagtailcleat/platform/operators.py
+++ b/wagtailcleat/platform/operators.py
@@ -1,15 +1,19 @@
-"""What operators write into the store: the configuration and zones taken out."""
+"""Decoding of the keys that operators write into the store.
+
+These are the configuration and the availability zones to evacuate. `operator_watch` in
+`wagtailcleat.cluster` reads them.
+"""
 
 from typing import Any
 
 from wagtailcleat.ids import ServiceName, ZoneName
 from wagtailcleat.platform.fields import (
-    number,
-    read_object,
-    rows,
-    table,
-    text,
-    whole,
+    get_integer,
+    get_list,
+    get_number,
+    get_object,
+    get_text,
+    parse_object,
 )
 from wagtailcleat.scheduling.queues import (
     Queue,
@@ -25,42 +29,44 @@
 
 
 def decode_configuration(value: bytes) -> QueueTable:
-    """Return the queues of a configuration.
+    """Decode the queues and request limits of a configuration.
 
     Raises:
-        BodyError: it can't be read.
+        BodyError: `value` is not JSON, or a field is missing or invalid.
 
     """
-    raw = read_object(value)
-    queues = [_queue(route) for route in rows(raw, "routes")]
-    return queue_table(whole(raw, "version"), queues, _limits(table(raw, "limits")))
+    raw = parse_object(value)
+    queues = [_queue(route) for route in get_list(raw, "routes")]
+    return queue_table(
+        get_integer(raw, "version"), queues, _limits(get_object(raw, "limits"))
+    )
 
 
 def _queue(raw: dict[str, Any]) -> Queue:
     return Queue(
-        text(raw, "name"),
-        text(raw, "host"),
-        text(raw, "prefix"),
-        ServiceName(text(raw, "service")),
-        whole(raw, "priority", default=0),
-        whole(raw, "attempts", default=1),
-        number(raw, "stretch", default=1.0),
-        number(raw, "targetLatencyMs", default=0.0) / MILLISECONDS,
-        bool(table(raw, "hint")),
+        get_text(raw, "name"),
+        get_text(raw, "host"),
+        get_text(raw, "prefix"),
+        ServiceName(get_text(raw, "service")),
+        get_integer(raw, "priority", default=0),
+        get_integer(raw, "attempts", default=1),
+        get_number(raw, "stretch", default=1.0),
+        get_number(raw, "targetLatencyMs", default=0.0) / MILLISECONDS,
+        bool(get_object(raw, "hint")),
     )
 
 
 def _limits(raw: dict[str, Any]) -> RequestLimits:
     return RequestLimits(
-        whole(raw, "maxHeaderBytes", default=16_384),
-        whole(raw, "maxBodyBytes", default=262_144),
-        number(raw, "headerTimeoutMs", default=3000) / MILLISECONDS,
-        number(raw, "idleTimeoutMs", default=15_000) / MILLISECONDS,
+        get_integer(raw, "maxHeaderBytes", default=16_384),
+        get_integer(raw, "maxBodyBytes", default=262_144),
+        get_number(raw, "headerTimeoutMs", default=3000) / MILLISECONDS,
+        get_number(raw, "idleTimeoutMs", default=15_000) / MILLISECONDS,
     )
 
 
 def zone_out(key: str) -> ZoneName | None:
-    """Return the zone that an operator's key takes out, if it is such a key."""
+    """Return the availability zone that `key` evacuates; None for any other key."""
     if not key.startswith(ZONE_OUT_PREFIX):
         return None
     return ZoneName(key.removeprefix(ZONE_OUT_PREFIX))
--- a/wagtailcleat/platform/runs.py
+++ b/wagtailcleat/platform/runs.py
@@ -1,7 +1,9 @@
-"""Client of the worker on this VM: starts, stops, paces and lists runs.
+"""Client of the worker on this VM, which starts, stops, throttles and lists runs.
 
-The worker keeps the highest fence it has seen and does nothing for a lower one.
-Outcomes are values. A call without an answer may be carried out seconds later.
+The agent of `wagtailcleat.cluster.hosting` uses it. The worker keeps the highest
+fencing token it has seen and rejects calls with a lower one. Refusals and missing
+answers are returned as values. A call without an answer may be carried out seconds
+later.
 """
 
 from dataclasses import dataclass
@@ -9,8 +11,8 @@
 from typing import Any
 
 from wagtailcleat.ids import JobId
-from wagtailcleat.platform.exchange import Exchange, NoAnswer, Reply
-from wagtailcleat.platform.fields import BodyError, rows, whole
+from wagtailcleat.platform.exchange import HttpClient, NoAnswer, Reply
+from wagtailcleat.platform.fields import BodyError, get_integer, get_list
 from wagtailcleat.scheduling.models import (
     Ended,
     Refusal,
@@ -24,15 +26,17 @@
 MILLISECONDS = 1000
 OK = 200
 CONFLICT = 409
-WRONG_LIFE = 421
+WRONG_INCARNATION = 421
 BAD_REQUEST = 400
-WAIT_SLACK_SECONDS = 0.4
-"""What a list may take beyond its waiting time: the worker is on this VM."""
-ENDS_AT_ONCE = 500
-"""A worker lists so many ends in one answer; later ones wait for acknowledgements."""
-EXPECT_INSTANCE = "Wagtailcleat-Expect-Instance"
-
-END_BY_WORD = {
+LIST_MARGIN_SECONDS = 0.4
+"""Time that a list may take beyond the requested wait; short because the worker is on
+this VM."""
+MAX_LISTED_ENDS = 500
+"""Maximum of ended runs in one list; the worker lists further ones after earlier ones
+are acknowledged."""
+EXPECT_INSTANCE_HEADER = "Wagtailcleat-Expect-Instance"
+
+END_BY_NAME = {
     "done": RunEnd.SUCCEEDED,
     "failed": RunEnd.FAILED,
     "stopped": RunEnd.STOPPED,
@@ -40,7 +44,7 @@
     "broken": RunEnd.BROKEN,
     "alone": RunEnd.ALONE,
 }
-REFUSAL_BY_WORD = {
+REFUSAL_BY_REASON = {
     "fence": Refusal.STALE,
     "old": Refusal.STALE,
     "late": Refusal.LATE,
@@ -50,67 +54,73 @@
 
 
 class StartOutcome(Enum):
-    """What became of a start."""
+    """Outcome of a start that was not refused."""
 
     STARTED = "started"
-    """It runs, or the same run was there before."""
+    """The run was started, now or by an earlier call."""
     UNKNOWN = "unknown"
-    """It may be carried out yet."""
+    """There was no answer; the start may still be carried out."""
 
 
 @dataclass(frozen=True)
 class Stale:
-    """The worker has seen a newer fence than this process uses."""
+    """The worker has seen a newer fencing token than the one of this process.
+
+    `worker_seconds` is the worker's clock when it answered.
+    """
 
     worker_seconds: float
 
 
 @dataclass(frozen=True)
 class OtherLife:
-    """Another life of the worker, or another worker, answers at its address."""
+    """Another incarnation of the worker, or another worker, answered at the address."""
 
 
 @dataclass(frozen=True)
 class RunList:
-    """All runs of a worker; `worker_seconds` is its clock as it answered."""
+    """All runs of a worker; `worker_seconds` is its clock when it answered."""
 
     worker_seconds: float
     running: list[Running]
     ended: list[Ended]
     born: int
-    """0 where the worker does not say."""
+    """Birth time of the worker's incarnation; 0 if the answer has none."""
     ends_whole: bool
-    """Whether `ended` surely has every end."""
+    """Whether `ended` is certain to contain every ended run."""
 
 
 class RunWorker:
-    """The worker in one of its lives."""
+    """Client of one incarnation of the worker."""
 
     def __init__(
         self, address: str, instance: str, *, fence: int, call_seconds: float
     ) -> None:
-        """Order the worker `instance` at `address`, an `ip:port`, under `fence`."""
+        """Create a client of the worker `instance` at `address`, an `ip:port`.
+
+        Parameters: `fence` is the fencing token sent with each call.
+        """
         self.fence = fence
         self._call_seconds = call_seconds
-        self._expect = {EXPECT_INSTANCE: instance}
-        self._exchange = Exchange(address)
-        self._listing = Exchange(address, max_clients=2)
+        self._expect_instance = {EXPECT_INSTANCE_HEADER: instance}
+        self._client = HttpClient(address)
+        self._list_client = HttpClient(address, max_clients=2)
 
     def __repr__(self) -> str:
-        """Show the fence."""
+        """Return a text with the fencing token."""
         return f"<RunWorker fence {self.fence}>"
 
     def close(self) -> None:
         """Close all connections."""
-        self._exchange.close()
-        self._listing.close()
+        self._client.close()
+        self._list_client.close()
 
     async def start(
         self, start: Start, *, until: float
     ) -> StartOutcome | Refusal | OtherLife:
-        """Start a run under a lease that ends at `until`, on the worker's clock."""
+        """Start a run whose lease ends at `until` in seconds on the worker's clock."""
         body: dict[str, Any] = {
-            "task": _task_text(start.key.task),
+            "task": _format_task_key(start.key.task),
             "run": start.key.run,
             "spec": start.spec,
             "deadlineMs": int(until * MILLISECONDS),
@@ -123,18 +133,18 @@
         reply = await self._call("/run-start", body)
         if not isinstance(reply, Reply):
             return StartOutcome.UNKNOWN
-        return _start_outcome(reply)
+        return _parse_start_outcome(reply)
 
     async def stop(self, key: RunKey) -> bool:
-        """Stop a run, or keep it from ever starting; tell whether that is sure."""
-        body = {"task": _task_text(key.task), "run": key.run, "fence": self.fence}
+        """Stop a run, or prevent its start; return whether the worker confirmed it."""
+        body = {"task": _format_task_key(key.task), "run": key.run, "fence": self.fence}
         reply = await self._call("/run-stop", body)
         return isinstance(reply, Reply) and reply.code == OK
 
     async def pace(self, key: RunKey, percent: int) -> bool:
-        """Let a run work at `percent` of its processor time."""
+        """Limit a run to `percent` of its CPU time; return whether it was confirmed."""
         body = {
-            "task": _task_text(key.task),
+            "task": _format_task_key(key.task),
             "run": key.run,
             "percent": percent,
             "fence": self.fence,
@@ -145,82 +155,88 @@
     async def list(
         self, *, acknowledged: int, until: float | None, wait_seconds: float
     ) -> RunList | Stale | OtherLife | NoAnswer:
-        """Renew the leases to `until`, acknowledge ends, and list all runs.
+        """Renew all leases, acknowledge ended runs, and list all runs.
 
-        Parameters: the answer waits up to `wait_seconds` for a run to end.
+        Parameters: `acknowledged` is the number of the last ended run processed;
+        `until` is the new end of the leases on the worker's clock, None renews none;
+        the worker waits up to `wait_seconds` for a run to end before it answers.
         """
         body: dict[str, Any] = {"fence": self.fence, "ackCursor": acknowledged}
         if until is not None:
             body["deadlineMs"] = int(until * MILLISECONDS)
         if wait_seconds:
             body["waitMs"] = int(wait_seconds * MILLISECONDS)
-        reply = await self._listing.call(
+        reply = await self._list_client.call(
             "POST",
             "/hold",
             body,
-            timeout=wait_seconds + WAIT_SLACK_SECONDS,
-            headers=self._expect,
+            timeout=wait_seconds + LIST_MARGIN_SECONDS,
+            headers=self._expect_instance,
         )
         if not isinstance(reply, Reply):
             return reply
-        if reply.code == WRONG_LIFE:
+        if reply.code == WRONG_INCARNATION:
             return OtherLife()
         try:
-            return _run_list(reply)
+            return _parse_run_list(reply)
         except (BodyError, ValueError, TypeError, KeyError):
             return NoAnswer.LOST
 
     async def _call(self, path: str, body: dict[str, Any]) -> Reply | NoAnswer:
-        return await self._exchange.call(
-            "POST", path, body, timeout=self._call_seconds, headers=self._expect
+        return await self._client.call(
+            "POST",
+            path,
+            body,
+            timeout=self._call_seconds,
+            headers=self._expect_instance,
         )
 
 
-def _start_outcome(reply: Reply) -> StartOutcome | Refusal | OtherLife:
+def _parse_start_outcome(reply: Reply) -> StartOutcome | Refusal | OtherLife:
     if reply.code == OK:
         return StartOutcome.STARTED
-    if reply.code == WRONG_LIFE:
+    if reply.code == WRONG_INCARNATION:
         return OtherLife()
     if reply.code == CONFLICT:
-        word = str(reply.body.get("reason", ""))
-        return REFUSAL_BY_WORD.get(word, Refusal.INVALID)
+        reason = str(reply.body.get("reason", ""))
+        return REFUSAL_BY_REASON.get(reason, Refusal.INVALID)
     if reply.code == BAD_REQUEST:
         return Refusal.INVALID
     return Refusal.UNHEALTHY
 
 
-def _run_list(reply: Reply) -> RunList | Stale | NoAnswer:
+def _parse_run_list(reply: Reply) -> RunList | Stale | NoAnswer:
     if reply.code == CONFLICT:
-        return Stale(whole(reply.body, "clockMs") / MILLISECONDS)
+        return Stale(get_integer(reply.body, "clockMs") / MILLISECONDS)
     if reply.code != OK:
         return NoAnswer.LOST
-    ended = [_ended(row) for row in rows(reply.body, "finished")]
+    ended = [_parse_ended(row) for row in get_list(reply.body, "finished")]
     return RunList(
-        whole(reply.body, "clockMs") / MILLISECONDS,
-        [_running(row) for row in rows(reply.body, "running")],
+        get_integer(reply.body, "clockMs") / MILLISECONDS,
+        [_parse_running(row) for row in get_list(reply.body, "running")],
         ended,
-        whole(reply.body, "born", default=0),
-        len(ended) < ENDS_AT_ONCE,
+        get_integer(reply.body, "born", default=0),
+        len(ended) < MAX_LISTED_ENDS,
     )
 
 
-def _running(row: list[Any]) -> Running:
-    key = RunKey(_task_key(row[0]), int(row[1]))
+def _parse_running(row: list[Any]) -> Running:
+    key = RunKey(_parse_task_key(row[0]), int(row[1]))
     figure = float(row[4]) if len(row) > 4 else 0.0
-    # A serving run reports milliseconds, any other thousandths of a core: both
-    # become the product's unit by the same factor.
+    # A serving run reports milliseconds, any other run thousandths of a core. The same
+    # factor converts both, to seconds and to cores.
     return Running(key, str(row[2]), int(row[3]), figure / MILLISECONDS)
 
 
-def _ended(row: list[Any]) -> Ended:
-    key = RunKey(_task_key(row[1]), int(row[2]))
-    return Ended(int(row[0]), key, END_BY_WORD[row[3]], str(row[4]))
+def _parse_ended(row: list[Any]) -> Ended:
+    key = RunKey(_parse_task_key(row[1]), int(row[2]))
+    return Ended(int(row[0]), key, END_BY_NAME[row[3]], str(row[4]))
 
 
-def _task_text(key: TaskKey) -> str:
+def _format_task_key(key: TaskKey) -> str:
     return f"{key.job}.{key.occurrence}.{key.step}.{key.position}"
 
 
-def _task_key(name: str) -> TaskKey:
+def _parse_task_key(name: str) -> TaskKey:
     job, occurrence, step, position = name.rsplit(".", 3)
     return TaskKey(JobId(job), int(occurrence), int(step), int(position))
--- a/wagtailcleat/platform/submissions.py
+++ b/wagtailcleat/platform/submissions.py
@@ -1,4 +1,8 @@
-"""Callers' HTTP: submissions, their states, and the counts of queues."""
+"""HTTP servers of an entry: the callers' API for jobs, and the readiness check.
+
+Callers submit, query and cancel jobs, and count the waiting jobs of a queue. The entry
+process of `wagtailcleat.cluster` starts both servers.
+"""
 
 import re
 from collections.abc import Callable
@@ -12,12 +16,12 @@
 from wagtailcleat.logs import part_logger
 from wagtailcleat.platform.fields import (
     BodyError,
-    flag,
-    number,
-    read_object,
-    rows,
-    text,
-    whole,
+    get_boolean,
+    get_integer,
+    get_list,
+    get_number,
+    get_text,
+    parse_object,
 )
 from wagtailcleat.resources import Resources
 from wagtailcleat.scheduling.models import Job, JobState, Step
@@ -29,20 +33,21 @@
 MILLISECONDS = 1000
 MILLICORES = 1000
 DEFAULT_DEADLINE_SECONDS = 3.0
-"""For callers that name none; as long as all callers of the deployments wait."""
+"""Deadline of calls without a deadline header; the callers of the deployments wait this
+long."""
 MAX_DEADLINE_SECONDS = 60.0
 RETRY_AFTER_SECONDS = 1
-"""A refused caller may return then: entries without configuration or store look for
-them several times a second."""
+"""Entries without a configuration or a store try several times a second to reach them,
+so a retry after this time can succeed."""
 MAX_BODY_BYTES = 8 * 1024 * 1024
 MAX_TASKS = 10_000
-"""Of one occurrence; more is refused as unreadable rather than taking all memory."""
+"""Limit for one occurrence of a job: a larger one could exhaust the memory."""
 MAX_SPEC_BYTES = 4_000
 OTHER_METHOD = "other"
-"""Noted for a method that HTTP does not know: callers can make up any number."""
+"""Recorded for all unsupported methods: callers can send any number of made-up ones."""
 ID_PATTERN = re.compile(r"[0-9a-fA-F]{16}")
 
-WORD_BY_STATE = {
+NAME_BY_STATE = {
     JobState.QUEUED: "queued",
     JobState.RUNNING: "running",
     JobState.SUCCEEDED: "done",
@@ -51,43 +56,47 @@
 }
 
 
-class Desk(Protocol):
-    """What the product does with jobs."""
+class JobService(Protocol):
+    """The operations on jobs that the callers' server needs.
+
+    Each `deadline` is in seconds on the clock given to `caller_server`.
+    """
 
     async def submit(self, job: Job, *, deadline: float) -> Acceptance:
         """Store a job."""
 
     async def state(self, job: JobId) -> JobState | NoSuchJob | NotAnswered:
-        """Return how a job stands."""
+        """Return the state of a job."""
 
     async def cancel(
         self, job: JobId, *, deadline: float
     ) -> JobState | NoSuchJob | NotAnswered:
-        """Cancel a job."""
+        """Cancel a job and return its state."""
 
     async def waiting(self, queue: str) -> int | NotAnswered:
-        """Count the jobs of a queue that have not begun."""
+        """Return the number of jobs of a queue that have not started."""
 
 
 def decode_job(job: JobId, queue: Queue, body: bytes, *, wall_now: float) -> Job:
-    """Return the job that a caller hands in.
+    """Decode the job that a caller submits.
 
     Raises:
-        BodyError: it can't be read, or asks for what no job may.
+        BodyError: `body` is no valid job, or exceeds a limit.
 
     """
-    raw = read_object(body)
-    spec = text(raw, "spec", default="")
+    raw = parse_object(body)
+    spec = get_text(raw, "spec", default="")
     if len(spec.encode()) > MAX_SPEC_BYTES:
         raise BodyError("spec: too long")
     steps = tuple(
-        _step(step, position) for position, step in enumerate(rows(raw, "steps"))
+        _decode_step(step, position)
+        for position, step in enumerate(get_list(raw, "steps"))
     )
     if not steps:
         raise BodyError("steps: there are none")
     if sum(step.count for step in steps) > MAX_TASKS:
         raise BodyError("steps: too many tasks")
-    times = whole(raw, "times", default=0)
+    times = get_integer(raw, "times", default=0)
     return Job(
         job,
         queue.name,
@@ -100,103 +109,103 @@
         queue.stretch,
         queue.target_latency,
         max(1, times),
-        number(raw, "startMs", default=0) / MILLISECONDS if times else 0.0,
-        number(raw, "intervalMs", default=0) / MILLISECONDS if times else 0.0,
+        get_number(raw, "startMs", default=0) / MILLISECONDS if times else 0.0,
+        get_number(raw, "intervalMs", default=0) / MILLISECONDS if times else 0.0,
         queue.advised,
     )
 
 
-def _step(raw: Any, position: int) -> Step:
+def _decode_step(raw: Any, position: int) -> Step:
     if not isinstance(raw, dict):
         raise BodyError("steps: not an object")
-    after = tuple(rows(raw, "after"))
+    after = tuple(get_list(raw, "after"))
     if not all(
         isinstance(earlier, int) and 0 <= earlier < position for earlier in after
     ):
         raise BodyError("after: names a step that is not earlier")
     return Step(
-        whole(raw, "count", default=0),
+        get_integer(raw, "count", default=0),
         Resources(
-            number(raw, "cpu", default=0) / MILLICORES,
-            whole(raw, "memMb", default=0),
-            whole(raw, "gpu", default=0),
+            get_number(raw, "cpu", default=0) / MILLICORES,
+            get_integer(raw, "memMb", default=0),
+            get_integer(raw, "gpu", default=0),
         ),
-        number(raw, "estMs", default=0) / MILLISECONDS,
+        get_number(raw, "estMs", default=0) / MILLISECONDS,
         after,
-        flag(raw, "checkpointable"),
-        flag(raw, "gang"),
-        flag(raw, "sameRack"),
-        text(raw, "requiredLabel", default=""),
-        text(raw, "affinity", default=""),
-        whole(raw, "maxPerServer", default=0),
-        flag(raw, "speculative"),
-        flag(raw, "longRunning"),
-        text(raw, "image", default=""),
-        number(raw, "targetMs", default=0) / MILLISECONDS,
-        flag(raw, "fills"),
-        whole(raw, "mayMiss", default=0),
+        get_boolean(raw, "checkpointable"),
+        get_boolean(raw, "gang"),
+        get_boolean(raw, "sameRack"),
+        get_text(raw, "requiredLabel", default=""),
+        get_text(raw, "affinity", default=""),
+        get_integer(raw, "maxPerServer", default=0),
+        get_boolean(raw, "speculative"),
+        get_boolean(raw, "longRunning"),
+        get_text(raw, "image", default=""),
+        get_number(raw, "targetMs", default=0) / MILLISECONDS,
+        get_boolean(raw, "fills"),
+        get_integer(raw, "mayMiss", default=0),
     )
 
 
 class _CallerHandler(RequestHandler):
     def initialize(
         self,
-        desk: Desk,
+        desk: JobService,
         queues: Callable[[], QueueTable | None],
         clock: Callable[[], float],
         wall_clock: Callable[[], float],
         note: Callable[[str, int, float], None],
     ) -> None:
-        self._note = note
-        self._desk = desk
+        self._record_call = note
+        self._job_service = desk
         self._queues = queues
         self._wall_clock = wall_clock
         self._clock = clock
-        self._began = clock()
+        self._started_at = clock()
 
     def on_finish(self) -> None:
         method = self.request.method
         if method not in self.SUPPORTED_METHODS:
             method = OTHER_METHOD
-        self._note(method, self.get_status(), self._clock() - self._began)
+        self._record_call(method, self.get_status(), self._clock() - self._started_at)
 
     def prepare(self) -> None:
-        table = self._queues()
-        if table is None:
+        queue_table = self._queues()
+        if queue_table is None:
             self._refuse(503, "no configuration is in force yet")
             return
         host = self.request.host.rpartition(":")[0] or self.request.host
-        queue = table.find(host, self.request.path)
+        queue = queue_table.find(host, self.request.path)
         if queue is None:
             self._refuse(404, "no such queue")
             return
-        if len(self.request.body) > table.limits.body_bytes:
+        if len(self.request.body) > queue_table.limits.body_bytes:
             self._refuse(413, "the body is too long")
             return
         self._queue = queue
-        self._id = self.request.path.removeprefix(queue.prefix)
+        self._id_text = self.request.path.removeprefix(queue.prefix)
 
-    def _refuse(self, code: int, why: str) -> None:
+    def _refuse(self, code: int, reason: str) -> None:
         self.set_status(code)
         if code in (429, 503):
             self.set_header("Retry-After", str(RETRY_AFTER_SECONDS))
-        self.finish({"error": why})
+        self.finish({"error": reason})
 
-    def _job(self) -> JobId | None:
-        if ID_PATTERN.fullmatch(self._id) is None:
+    def _job_id(self) -> JobId | None:
+        if ID_PATTERN.fullmatch(self._id_text) is None:
             self._refuse(404, "no such submission")
             return None
-        return JobId(self._id)
+        return JobId(self._id_text)
 
     def _deadline(self) -> float:
-        given = self.request.headers.get(DEADLINE_HEADER, "")
+        header = self.request.headers.get(DEADLINE_HEADER, "")
         seconds = DEFAULT_DEADLINE_SECONDS
-        if given.isdigit():
-            seconds = min(int(given) / MILLISECONDS, MAX_DEADLINE_SECONDS)
-        return self._began + seconds
+        if header.isdigit():
+            seconds = min(int(header) / MILLISECONDS, MAX_DEADLINE_SECONDS)
+        return self._started_at + seconds
 
     async def post(self) -> None:
-        job = self._job()
+        job = self._job_id()
         if job is None:
             return
         try:
@@ -205,7 +214,7 @@
         except BodyError as error:
             self._refuse(400, error.message)
             return
-        outcome = await self._desk.submit(decoded, deadline=self._deadline())
+        outcome = await self._job_service.submit(decoded, deadline=self._deadline())
         if outcome is Acceptance.ACCEPTED:
             self.finish({})
         elif outcome is Acceptance.NOT_STORED:
@@ -214,34 +223,34 @@
             self._refuse(504, "it is not known whether the submission was stored")
 
     async def get(self) -> None:
-        if not self._id:
-            await self._count()
+        if not self._id_text:
+            await self._get_waiting()
             return
-        job = self._job()
+        job = self._job_id()
         if job is None:
             return
-        state = await self._desk.state(job)
+        state = await self._job_service.state(job)
         if isinstance(state, JobState):
-            self.finish({"state": WORD_BY_STATE[state]})
+            self.finish({"state": NAME_BY_STATE[state]})
         elif isinstance(state, NoSuchJob):
             self._refuse(410, "no such submission")
         else:
             self._refuse(504, "its state is not known at present")
 
-    async def _count(self) -> None:
-        count = await self._desk.waiting(self._queue.name)
+    async def _get_waiting(self) -> None:
+        count = await self._job_service.waiting(self._queue.name)
         if isinstance(count, int):
             self.finish({"pending": count})
         else:
             self._refuse(504, "the count is not known at present")
 
     async def delete(self) -> None:
-        job = self._job()
+        job = self._job_id()
         if job is None:
             return
-        state = await self._desk.cancel(job, deadline=self._deadline())
+        state = await self._job_service.cancel(job, deadline=self._deadline())
         if isinstance(state, JobState):
-            self.finish({"state": WORD_BY_STATE[state]})
+            self.finish({"state": NAME_BY_STATE[state]})
         elif isinstance(state, NoSuchJob):
             self._refuse(410, "no such submission")
         else:
@@ -258,26 +267,27 @@
 
 
 def caller_server(
-    desk: Desk,
+    job_service: JobService,
     *,
     queues: Callable[[], QueueTable | None],
     clock: Callable[[], float],
     wall_clock: Callable[[], float],
     note: Callable[[str, int, float], None] = lambda method, status, seconds: None,
 ) -> HTTPServer:
-    """Return the server that callers reach.
+    """Return the HTTP server for callers.
 
-    Parameters: `note` is told method, status and seconds of each call answered.
+    Parameters: `queues` returns None until a configuration is in force; `note` is
+    called with the method, status and seconds of each answered call.
     """
-    parts = {
-        "desk": desk,
+    handler_arguments = {
+        "desk": job_service,
         "queues": queues,
         "clock": clock,
         "wall_clock": wall_clock,
         "note": note,
     }
     application = Application(
-        [(r".*", _CallerHandler, parts)], log_function=lambda handler: None
+        [(r".*", _CallerHandler, handler_arguments)], log_function=lambda handler: None
     )
     return HTTPServer(
         application, max_body_size=MAX_BODY_BYTES, idle_connection_timeout=300
@@ -285,7 +295,7 @@
 
 
 def ready_server(ready: Callable[[], bool]) -> HTTPServer:
-    """Return the server that the platform's balancer asks."""
+    """Return the server for the readiness checks of the platform's load balancer."""
     application = Application(
         [(r"/ready", _ReadyHandler, {"ready": ready})],
         log_function=lambda handler: None,
--- a/wagtailcleat/platform/worker.py
+++ b/wagtailcleat/platform/worker.py
@@ -1,8 +1,9 @@
-"""Client of the platform's worker on this VM.
+"""Client of the worker on this VM, for the agent of `wagtailcleat.agent`.
 
-Outcomes are values. The worker shares the VM's clock, so a lease is an instant on
-it: a start that arrives after its lease lapsed is refused by the worker itself,
-which closes the gap between a check here and the act there.
+Refusals and missing answers are returned as values. The worker and this process share
+the VM's clock, so the end of a lease is a time on that clock. The worker itself refuses
+a start that arrives after its lease expired: a lease checked here may expire before
+the start arrives.
 """
 
 import json
@@ -18,12 +19,12 @@
 from wagtailcleat.ids import AttemptId
 from wagtailcleat.resources import Resources
 
-CONNECT_SECONDS = 1.0
-CALL_SECONDS = 3.0
+CONNECT_TIMEOUT_SECONDS = 1.0
+CALL_TIMEOUT_SECONDS = 3.0
 
 
 class TaskState(Enum):
-    """How a task stands at the worker."""
+    """State of a task at the worker."""
 
     RUNNING = "running"
     SUCCEEDED = "succeeded"
@@ -33,7 +34,7 @@
 
 
 class WorkerTask(msgspec.Struct, frozen=True):
-    """A task as the worker lists it; `lease_until` is on the VM's clock."""
+    """A task as the worker lists it; `lease_until` is in seconds on the VM's clock."""
 
     id: str
     state: TaskState
@@ -46,17 +47,17 @@
 
     @property
     def attempt(self) -> AttemptId:
-        """The attempt that the task runs."""
+        """The id of the attempt that the task runs."""
         return AttemptId(self.id.replace("~", "/"))
 
     @property
     def size(self) -> Resources:
-        """What the task takes."""
+        """Resources that the task occupies."""
         return Resources(self.cores, self.memory_mb, self.accelerators)
 
 
 class WorkerUsage(msgspec.Struct, frozen=True):
-    """What ran used, as of `lag_seconds` ago."""
+    """Resource usage of tasks and services, measured `lag_seconds` ago."""
 
     measured_at: float
     lag_seconds: float
@@ -66,23 +67,23 @@
 
 @dataclass(frozen=True)
 class WorkerUnreachable:
-    """The worker did not answer; what was asked may have been done."""
+    """The worker did not answer; the request may have been carried out."""
 
     reason: str
 
 
 @dataclass(frozen=True)
 class WorkerRefused:
-    """The worker did not do it; `code` says why."""
+    """The worker refused the request; `code` gives the reason."""
 
     code: str
 
 
 class Worker:
-    """The worker beside this process."""
+    """Client of the worker on the same VM as this process."""
 
     def __init__(self, url: str) -> None:
-        """Call the worker at `url`."""
+        """Create a client of the worker at `url`."""
         self._url = url
         self._client = CurlAsyncHTTPClient(force_instance=True, max_clients=32)
 
@@ -91,14 +92,14 @@
         self._client.close()
 
     async def tasks(self) -> list[WorkerTask] | WorkerUnreachable:
-        """Return all tasks, ended ones too until they are forgotten."""
+        """Return all tasks; ended ones are included until `forget` is called."""
         answer = await self._call("GET", "/tasks")
         if not isinstance(answer, dict):
             return WorkerUnreachable(str(answer))
         return msgspec.convert(answer["tasks"], list[WorkerTask])
 
     async def capacity(self) -> Resources | WorkerUnreachable:
-        """Return all that the worker can run at one time."""
+        """Return the total resources of the worker."""
         answer = await self._call("GET", "/capacity")
         if not isinstance(answer, dict):
             return WorkerUnreachable(str(answer))
@@ -115,7 +116,11 @@
         lease_until: float,
         checkpoint: str = "",
     ) -> WorkerTask | WorkerRefused | WorkerUnreachable:
-        """Start an attempt; idempotent by its id."""
+        """Start an attempt; repeated calls with the same id start it once.
+
+        Parameters: `lease_until` is in seconds on the VM's clock; `checkpoint` is the
+        one to resume from.
+        """
         body = {
             "command": command,
             "cores": size.cores,
@@ -126,41 +131,44 @@
         if checkpoint:
             body["checkpoint"] = checkpoint
         answer = await self._call("PUT", _path(attempt), body)
-        return msgspec.convert(answer, WorkerTask) if _is_task(answer) else answer
+        return msgspec.convert(answer, WorkerTask) if _is_object(answer) else answer
 
     async def renew(
         self, lease_until_by_attempt: dict[AttemptId, float]
     ) -> list[AttemptId] | WorkerUnreachable:
-        """Lengthen leases; return the attempts that the worker does not run."""
-        body = {_task_id(a): until for a, until in lease_until_by_attempt.items()}
+        """Renew leases; return the attempts that the worker does not run."""
+        body = {
+            _task_id(attempt): until
+            for attempt, until in lease_until_by_attempt.items()
+        }
         answer = await self._call("POST", "/leases", {"lease_until_by_id": body})
         if not isinstance(answer, dict):
             return WorkerUnreachable(str(answer))
-        return [AttemptId(i.replace("~", "/")) for i in answer.get("unknown", [])]
+        return [AttemptId(task.replace("~", "/")) for task in answer.get("unknown", [])]
 
     async def stop(
         self, attempt: AttemptId, *, checkpoint: bool
     ) -> WorkerTask | WorkerRefused | WorkerUnreachable:
-        """Stop an attempt, taking a checkpoint first where asked to."""
+        """Stop an attempt; with `checkpoint`, save a checkpoint first."""
         path = f"{_path(attempt)}/stop"
         answer = await self._call("POST", path, {"checkpoint": checkpoint})
-        return msgspec.convert(answer, WorkerTask) if _is_task(answer) else answer
+        return msgspec.convert(answer, WorkerTask) if _is_object(answer) else answer
 
     async def throttle(
         self, attempt: AttemptId, share: float
     ) -> WorkerTask | WorkerRefused | WorkerUnreachable:
-        """Hold an attempt to `share` of its cores."""
+        """Limit an attempt to `share`, from 0 to 1, of its cores."""
         answer = await self._call(
             "POST", f"{_path(attempt)}/throttle", {"share": share}
         )
-        return msgspec.convert(answer, WorkerTask) if _is_task(answer) else answer
+        return msgspec.convert(answer, WorkerTask) if _is_object(answer) else answer
 
     async def forget(self, attempt: AttemptId) -> None:
-        """Let the worker drop an ended attempt from its list."""
+        """Remove an ended attempt from the worker's list."""
         await self._call("DELETE", _path(attempt))
 
     async def usage(self) -> WorkerUsage | WorkerUnreachable:
-        """Return the lagged usage of tasks and services."""
+        """Return the most recent usage of tasks and services, which lags behind."""
         answer = await self._call("GET", "/usage")
         if not isinstance(answer, dict):
             return WorkerUnreachable(str(answer))
@@ -173,8 +181,8 @@
             self._url + path,
             method=method,
             body=None if body is None else json.dumps(body),
-            connect_timeout=CONNECT_SECONDS,
-            request_timeout=CALL_SECONDS,
+            connect_timeout=CONNECT_TIMEOUT_SECONDS,
+            request_timeout=CALL_TIMEOUT_SECONDS,
             allow_nonstandard_methods=True,
         )
         try:
@@ -187,12 +195,13 @@
         if response.code >= 400 and isinstance(answer, dict) and "code" in answer:
             return WorkerRefused(str(answer["code"]))
         if response.code >= 400:
-            # No refusal of the worker's own: the call may have been carried out.
+            # The worker sends a code with each refusal. Without one, the call may have
+            # been carried out.
             return WorkerUnreachable(str(response.code))
         return answer
 
 
-def _is_task(answer: Any) -> bool:
+def _is_object(answer: Any) -> bool:
     return isinstance(answer, dict)
 
 
