--- a/features/platform/explain.feature
+++ b/features/platform/explain.feature
@@ -2,7 +2,7 @@
 
   Scenario: A job whose leader was killed is told in order, across processes
     Given a deployment of 2 entries and 2 agents
-    When a job of 4 tasks of 3 s and then 2 tasks is handed in at the other entry
+    When a job of 4 tasks of 3 s and then 2 tasks is submitted at the other entry
     And the leader is killed while the first step runs
     And it has ended as "done" at the other entry
     Then its story tells, in this order
@@ -15,7 +15,7 @@
   Scenario: The story of a late job says how late it was
     # Guards against a late job whose logs don't tell that it was late.
     Given a deployment of 2 entries and 1 agent
-    When a job of 4 tasks of 3 s and then 2 tasks is handed in at the other entry
+    When a job of 4 tasks of 3 s and then 2 tasks is submitted at the other entry
     And it has ended as "done" at the other entry
     Then its story says that it ended more than 2 s and less than 15 s after its objective
 
--- a/features/steps/metrics_steps.py
+++ b/features/steps/metrics_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the metrics of real processes that callers press."""
+"""Steps on the number of time series in the metrics of real processes."""
 
 import secrets
 from collections import Counter
@@ -10,9 +10,9 @@
 from standins.platform_cluster import HOST, PREFIX, host_of
 from standins.processes import http, wait_for
 
-CALLERS = 4
+MAX_CONCURRENT_CALLERS = 4
 STEP = {"count": 1, "cpu": 100, "memMb": 10, "estMs": 100}
-OTHER = 'wagtailcleat_submission_calls_total{outcome="other 405"}'
+OTHER_METHODS_SERIES = 'wagtailcleat_submission_calls_total{outcome="other 405"}'
 
 
 def _metrics_by_node(context):
@@ -25,14 +25,14 @@
     }
 
 
-@when("the operator opens {count:d} queues")
-def step_open_many(context, count):
+@when("the operator adds {count:d} queues")
+def step_add_queues(context, count):
     context.queues = tuple(f"queue{number:03d}" for number in range(count))
     context.cluster.configure(version=2, queues=context.queues)
 
 
 @then("within {seconds:d} s both entries serve the last of them")
-def step_last_served(context, seconds):
+def step_last_queue_served(context, seconds):
     path = f"/{context.queues[-1]}/"
 
     def served():
@@ -44,14 +44,14 @@
     wait_for(served, seconds, "both entries serve the last queue")
 
 
-@when("a job is handed in, asked for, counted and cancelled at each queue")
-def step_use_each(context):
-    with ThreadPoolExecutor(CALLERS) as pool:
+@when("a job is submitted, queried, counted and cancelled at each queue")
+def step_use_each_queue(context):
+    with ThreadPoolExecutor(MAX_CONCURRENT_CALLERS) as pool:
         numbers = range(len(context.queues))
-        context.jobs = list(pool.map(lambda n: _use(context, n), numbers))
+        context.jobs = list(pool.map(lambda n: _use_queue(context, n), numbers))
 
 
-def _use(context, number):
+def _use_queue(context, number):
     cluster, job = context.cluster, secrets.token_hex(8)
     prefix, entry = f"/{context.queues[number]}/", number % 2
     body = {"spec": "{}", "steps": [STEP]}
@@ -65,28 +65,28 @@
     return job
 
 
-@then("the metrics of every process name no queue and no job")
+@then("the metrics of every process contain no queue name and no job id")
 def step_no_names(context):
     names = (*context.queues, *context.jobs)
     for node, text in _metrics_by_node(context).items():
-        named = [name for name in names if name in text]
-        assert not named, (node, len(named), named[:3])
+        found = [name for name in names if name in text]
+        assert not found, (node, len(found), found[:3])
 
 
 @then("no metric of any process has more than {most:d} series")
-def step_few_series(context, most):
+def step_series_bounded(context, most):
     for node, text in _metrics_by_node(context).items():
         series = Counter(
             family.name
             for family in text_string_to_metric_families(text)
             for _ in family.samples
         )
-        many = {name: count for name, count in series.items() if count > most}
-        assert series and not many, (node, many)
+        excessive = {name: count for name, count in series.items() if count > most}
+        assert series and not excessive, (node, excessive)
 
 
-@when("a caller sends {count:d} made-up methods")
-def step_made_up(context, count):
+@when("a caller sends requests with {count:d} made-up methods")
+def step_made_up_methods(context, count):
     url = context.cluster.url(0) + PREFIX
     for number in range(count):
         answer = http(f"FETCH{number}", url, headers={"Host": HOST})
@@ -94,6 +94,6 @@
 
 
 @then("the metrics of entry 1 count {count:d} calls of other methods")
-def step_others_counted(context, count):
+def step_other_methods_counted(context, count):
     text = _metrics_by_node(context)["entry-1"]
-    assert f"{OTHER} {count:.1f}" in text, text
+    assert f"{OTHER_METHODS_SERIES} {count:.1f}" in text, text
--- a/features/steps/platform_adapter_steps.py
+++ b/features/steps/platform_adapter_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the adapter's decoding, on logs, and on bad input at the ports."""
+"""Steps on decoding, on the logs of a job, and on invalid input at the ports."""
 
 import asyncio
 import json
@@ -24,9 +24,9 @@
 from wagtailcleat.platform.submissions import decode_job
 from wagtailcleat.scheduling.queues import Queue
 
-WALL = 1_800_000_000.0
+WALL_NOW = 1_800_000_000.0
 QUEUE = Queue("holds", HOST, PREFIX, ServiceName("booking-core"), 0, 4, 1.5, 0.25)
-BEAT = {
+HEARTBEAT = {
     "service": "booking-core",
     "addr": "10.1.0.9:8080",
     "zone": "zilina-a",
@@ -47,27 +47,31 @@
         {"count": 20, "cpu": 2000, "memMb": 1024, "after": [0], "fills": True},
     ],
 }
-IN_FLIGHT = 50
+MAX_IN_FLIGHT = 50
 CALL_SECONDS = 2.0
 
 
 @then(
-    "a heartbeat of {cpu:d} thousandths of a core is a worker of {cores:d} cores"
-    ' in rack "{rack}"'
+    "a heartbeat of {cpu:d} thousandths of a core is decoded to a worker of"
+    ' {cores:d} cores in rack "{rack}"'
 )
-def step_beat(context, cpu, cores, rack):
-    body = BEAT | {"capacity": {"cpu": cpu, "memMb": 1, "gpu": 0}}
-    beat = decode_heartbeat("i-1", json.dumps(body).encode())
-    assert beat.worker.capacity.cores == cores and beat.worker.rack == rack, beat
-    assert beat.worker_seconds == 482.113 and beat.sequence == 4, beat
+def step_heartbeat(context, cpu, cores, rack):
+    body = HEARTBEAT | {"capacity": {"cpu": cpu, "memMb": 1, "gpu": 0}}
+    decoded = decode_heartbeat("i-1", json.dumps(body).encode())
+    assert decoded.worker.capacity.cores == cores and decoded.worker.rack == rack, (
+        decoded
+    )
+    assert decoded.worker_seconds == 482.113 and decoded.sequence == 4, decoded
 
 
-@then("a heartbeat of an unknown state, of a missing field and of no JSON is refused")
-def step_bad_beat(context):
+@then(
+    "a heartbeat with an unknown state or a missing field, or without JSON, is rejected"
+)
+def step_invalid_heartbeat(context):
     bodies = [
-        json.dumps(BEAT | {"state": "asleep"}).encode(),
-        json.dumps({k: v for k, v in BEAT.items() if k != "addr"}).encode(),
-        json.dumps(BEAT | {"seq": True}).encode(),
+        json.dumps(HEARTBEAT | {"state": "asleep"}).encode(),
+        json.dumps({k: v for k, v in HEARTBEAT.items() if k != "addr"}).encode(),
+        json.dumps(HEARTBEAT | {"seq": True}).encode(),
         b"\xff\xfe",
         b"[]",
     ]
@@ -79,29 +83,37 @@
         raise AssertionError(body)
 
 
-@then("a submission of 2 steps is a job whose second step waits for the first")
+@then(
+    "a submission of 2 steps is decoded to a job whose second step depends on the first"
+)
 def step_submission(context):
     body = json.dumps(JOB).encode()
-    job = decode_job(JobId("0" * 16), QUEUE, body, wall_now=WALL)
+    job = decode_job(JobId("0" * 16), QUEUE, body, wall_now=WALL_NOW)
     first, second = job.steps
     assert first.size.cores == 0.5 and first.affinity_rack == "r1-3", first
     assert second.after == (0,) and second.fills, second
     assert (job.attempts, job.stretch, job.target_latency) == (4, 1.5, 0.25), job
 
 
-@then("a submission that names a later step, no steps or too many tasks is refused")
-def step_bad_submission(context):
+@then(
+    "a submission that depends on a later step, or has no steps or too many tasks,"
+    " is rejected"
+)
+def step_invalid_submission(context):
     for steps in ([{"count": 1, "after": [1]}], [], [{"count": 100_000}], [3]):
         try:
             body = json.dumps({"spec": "", "steps": steps}).encode()
-            decode_job(JobId("0" * 16), QUEUE, body, wall_now=WALL)
+            decode_job(JobId("0" * 16), QUEUE, body, wall_now=WALL_NOW)
         except BodyError:
             continue
         raise AssertionError(steps)
 
 
-@then("a serving run listed at {milliseconds:d} ms shows a figure of {seconds:g} s")
-def step_list(context, milliseconds, seconds):
+@then(
+    "a serving run listed with {milliseconds:d} ms is decoded to a value of"
+    " {seconds:g} s"
+)
+def step_run_list(context, milliseconds, seconds):
     row = ["00ff.0.1.17", 2, "", 100, milliseconds]
     body = {"clockMs": 1000, "running": [row], "finished": [], "born": 7}
     listed = _parse_run_list(Reply(200, body))
@@ -120,20 +132,20 @@
     return call()
 
 
-@then("a call to a port of this VM that nobody listens at is told as refused")
+@then("a call to a port of this VM without a listener is reported as refused")
 def step_refused(context):
     (port,) = free_ports(1, "127.0.0.1")
     assert asyncio.run(_call(port)) is NoAnswer.REFUSED
 
 
-@then("a call whose connection breaks before the answer is told as lost")
+@then("a call whose connection breaks before the answer is reported as lost")
 def step_lost(context):
-    async def hang_up(reader, writer):
+    async def close_connection(reader, writer):
         await reader.readline()
         writer.close()
 
     async def run():
-        server = await asyncio.start_server(hang_up, "127.0.0.1", 0)
+        server = await asyncio.start_server(close_connection, "127.0.0.1", 0)
         async with server:
             return await _call(server.sockets[0].getsockname()[1])
 
@@ -149,14 +161,14 @@
     def request(rng):
         path = rng.choice([PREFIX + secrets.token_hex(8), "/", PREFIX, "/%ff/" + "a"])
         method = rng.choice(["POST", "POST", "POST", "GET", "DELETE", "PUT"])
-        body = _fuzzed(rng, JOB) if method in ("POST", "PUT") else None
+        body = _fuzzed_body(rng, JOB) if method in ("POST", "PUT") else None
         return HTTPRequest(url + path, method=method, body=body, headers=headers)
 
-    context.statuses = asyncio.run(_send(count, request))
+    context.statuses = asyncio.run(_send_all(count, request))
 
 
 @when("{count:d} fuzzed bodies are sent to the port of heartbeats")
-def step_fuzz_beats(context, count):
+def step_fuzz_heartbeats(context, count):
     cluster = context.cluster
     control = f"http://{host_of(2)}:{cluster.ports[4]}"
 
@@ -164,47 +176,47 @@
         path = f"/instances/x-{rng.randrange(10)}/" + rng.choice(
             ["heartbeat"] * 5 + [""]
         )
-        # A body that happens to be sound would name another worker of this VM.
-        body = _fuzzed(rng, BEAT | {"state": "asleep"})
+        # A body that happens to be valid would announce another worker on this VM.
+        body = _fuzzed_body(rng, HEARTBEAT | {"state": "asleep"})
         return HTTPRequest(control + path, method="POST", body=body)
 
-    context.statuses += asyncio.run(_send(count, request))
+    context.statuses += asyncio.run(_send_all(count, request))
 
 
-async def _send(count, make):
+async def _send_all(count, make):
     rng = random.Random(count)
-    client = AsyncHTTPClient(force_instance=True, max_clients=IN_FLIGHT)
-    gate = asyncio.Semaphore(IN_FLIGHT)
+    client = AsyncHTTPClient(force_instance=True, max_clients=MAX_IN_FLIGHT)
+    semaphore = asyncio.Semaphore(MAX_IN_FLIGHT)
 
-    async def one():
-        async with gate:
+    async def send_one():
+        async with semaphore:
             answer = await client.fetch(make(rng), raise_error=False)
             return answer.code
 
     try:
-        return list(await asyncio.gather(*(one() for _ in range(count))))
+        return list(await asyncio.gather(*(send_one() for _ in range(count))))
     finally:
         client.close()
 
 
-def _fuzzed(rng, sound):
+def _fuzzed_body(rng, valid):
     kind = rng.randrange(4)
     if kind == 0:
         return bytes(rng.randrange(256) for _ in range(rng.randrange(60)))
     if kind == 1:
-        text = json.dumps(sound)
+        text = json.dumps(valid)
         return text[: rng.randrange(len(text))].encode()
-    odd = [None, -1, 1e308, "x", [], {}, True, [[]], 10**30]
-    name = rng.choice(list(sound))
-    if kind == 2 and isinstance(sound.get("steps"), list):
-        step = dict(rng.choice(sound["steps"]))
-        step[rng.choice(list(step))] = rng.choice(odd)
-        return json.dumps(sound | {"steps": [step]}).encode()
-    return json.dumps(sound | {name: rng.choice(odd)}).encode()
+    invalid_values = [None, -1, 1e308, "x", [], {}, True, [[]], 10**30]
+    name = rng.choice(list(valid))
+    if kind == 2 and isinstance(valid.get("steps"), list):
+        step = dict(rng.choice(valid["steps"]))
+        step[rng.choice(list(step))] = rng.choice(invalid_values)
+        return json.dumps(valid | {"steps": [step]}).encode()
+    return json.dumps(valid | {name: rng.choice(invalid_values)}).encode()
 
 
-@then("no answer was a fault of the program")
-def step_no_fault(context):
+@then("no answer was an internal error")
+def step_no_internal_error(context):
     assert len(context.statuses) == 20_000
     faults = [status for status in context.statuses if status >= 500]
     assert not faults, faults[:10]
@@ -214,16 +226,13 @@
         assert not bad, bad[:2]
 
 
-@then('a job handed in afterwards is shown as "{state}"')
-def step_afterwards(context, state):
+@then('a job submitted afterwards is shown as "{state}"')
+def step_job_afterwards(context, state):
     step = {"count": 2, "cpu": 1000, "memMb": 100}
     job = context.cluster.submit([step])
     context.cluster.until_state(job, state)
 
 
-# ---- logs
-
-
 @when('it has ended as "{state}" at the other entry')
 def step_has_ended(context, state):
     context.cluster.until_state(context.job, state, entry=context.entry, timeout=20)
@@ -232,7 +241,7 @@
 @then("its story tells, in this order")
 def step_story(context):
     cluster = context.cluster
-    wanted = [row["line"] for row in context.table]
+    expected = [row["line"] for row in context.table]
 
     def told():
         lines = []
@@ -242,9 +251,9 @@
 
     def in_order():
         texts = iter(told())
-        return all(any(line in text for text in texts) for line in wanted)
+        return all(any(line in text for text in texts) for line in expected)
 
-    wait_for(in_order, 5.0, "the story tells these lines in order")
+    wait_for(in_order, 5.0, "the logs of the job show these lines in order")
 
 
 def _own_lines():
@@ -257,7 +266,7 @@
 
 
 @given('log lines of job "{job}" with a torn line and a foreign line')
-def step_torn(context, job):
+def step_unreadable_lines(context, job):
     own = _own_lines()
     context.story = read_story(job, [own[0], own[1], own[1][:40], "hello"])
 
@@ -275,7 +284,7 @@
 
 
 @then('it says that run "{run}" has no end')
-def step_no_end(context, run):
+def step_run_without_end(context, run):
     told = list(missing(context.story))
     assert any(run in text and "how it ended" in text for text in told), told
 
@@ -289,7 +298,7 @@
     "log lines of a job that waited 1 s, then lost 8 s in a step and 2 s in the next"
 )
 def step_lost_time(context):
-    # Two steps of 2 s each; the objective is 8 s after it was accepted.
+    # Two steps of 2 s each; the objective is 8 s after the job was accepted.
     first, again, second = (f"a1/0/{place}" for place in ("0/0#1", "0/0#2", "1/0#1"))
     lines = [
         _timed(1, "submissions: Accepted", job="a1"),
@@ -312,7 +321,7 @@
         _timed(9, starts, run="a1/0/0/0#1", agent="agent-1"),
         _timed(9, starts, run="a1/0/0/1#1", agent="agent-2"),
         _timed(12, began, born=7) | {"node": "agent-1"},
-        # The agent alone was started again; its worker is the one it had.
+        # Only the agent was restarted; its worker is in the same incarnation.
         _timed(12, began, born=6) | {"node": "agent-2"},
         _timed(14, starts, run="a1/0/0/0#2", agent="agent-1"),
         _timed(14, starts, run="a1/0/0/1#2", agent="agent-2"),
@@ -325,7 +334,7 @@
     away, back = "store: The store does not answer", "store: The store answers again"
     lines = [
         _timed(1, away, why="lost"),
-        # An outage of another entry, and one that was over: neither explains it.
+        # The outage of another entry and the one that has ended are not the cause.
         _timed(3, away, why="lost") | {"node": "entry-2"},
         _timed(3, away, why="lost") | {"node": "agent-1"},
         _timed(4, back) | {"node": "agent-1"},
@@ -402,7 +411,7 @@
 
 
 @given("a log whose reader stalls")
-def step_stalled(context):
+def step_stalled_reader(context):
     context.reader, writer = os.pipe()
     context.add_cleanup(os.close, context.reader)
     context.add_cleanup(os.close, writer)
@@ -416,7 +425,7 @@
 
 
 @when("{count:d} lines are written")
-def step_written(context, count):
+def step_write_lines(context, count):
     began = time.monotonic()
     _write(context.output, count)
     context.seconds = time.monotonic() - began
@@ -429,24 +438,24 @@
 
 
 @when("the reader goes on and {count:d} line more is written")
-def step_goes_on(context, count):
+def step_reader_resumes(context, count):
     os.set_blocking(context.reader, False)
-    _drain(context.reader)
+    _read_available(context.reader)
     _write(context.output, count)
-    context.read = _drain(context.reader)
+    context.read = _read_available(context.reader)
 
 
-def _drain(reader):
+def _read_available(reader):
     found = b""
     while True:
         try:
-            piece = os.read(reader, 65_536)
+            chunk = os.read(reader, 65_536)
         except BlockingIOError:
             return found
-        found += piece
+        found += chunk
 
 
 @then("a line tells how many were dropped")
-def step_told(context):
+def step_dropped_lines_logged(context):
     told = [line for line in context.read.splitlines() if b"Lines were dropped" in line]
     assert json.loads(told[0])["lines"] == context.output.dropped, context.read
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -1,4 +1,4 @@
-"""Steps on a deployment of real processes, on stand-ins of the platform."""
+"""Steps on a deployment of real processes, with stand-ins for the platform."""
 
 import json
 import secrets
@@ -11,7 +11,7 @@
 from standins.platform_cluster import PREFIX, PlatformCluster, host_of, store_host
 from standins.processes import http, wait_for
 
-SECONDS = 20.0
+TIMEOUT_SECONDS = 20.0
 
 
 @given("a deployment of {entries:d} entry and {agents:d} agent")
@@ -31,7 +31,7 @@
     "a deployment of {entries:d} entries, the second {speed:d} times as fast, "
     "and {agents:d} agent"
 )
-def step_uneven(context, entries, speed, agents):
+def step_uneven_deployment(context, entries, speed, agents):
     folder = tempfile.TemporaryDirectory()
     context.add_cleanup(folder.cleanup)
     context.cluster = PlatformCluster(
@@ -45,23 +45,25 @@
 @then("entry {number:d} is the leader")
 def step_leads(context, number):
     cluster = context.cluster
-    wanted = cluster.entries[number - 1]
-    wait_for(lambda: cluster.leader() is wanted, SECONDS, f"entry {number} leads")
+    expected = cluster.entries[number - 1]
+    wait_for(
+        lambda: cluster.leader() is expected, TIMEOUT_SECONDS, f"entry {number} leads"
+    )
 
 
-@when("entry {number:d} loses power")
+@when("the process of entry {number:d} is killed")
 def step_kill_entry(context, number):
     context.cluster.entries[number - 1].kill()
 
 
-@when("entry {number:d} has power again")
+@when("the process of entry {number:d} is started again")
 def step_start_entry(context, number):
     context.cluster.entries[number - 1].start()
 
 
-@then('a job of {count:d} tasks handed in at entry 1 is shown as "{state}"')
-def step_hand_in_done(context, count, state):
-    _hand_in(context, _steps(count))
+@then('a job of {count:d} tasks submitted at entry 1 is shown as "{state}"')
+def step_submit_done(context, count, state):
+    _submit(context, _steps(count))
     context.cluster.until_state(context.job, state)
 
 
@@ -72,52 +74,52 @@
     return steps
 
 
-def _hand_in(context, steps, **spec):
+def _submit(context, steps, **spec):
     context.job = context.cluster.submit(steps, entry=context.entry, **spec)
 
 
-@when("a job of {count:d} tasks and then {second:d} tasks is handed in at entry 1")
-@when("a job of {count:d} tasks and then {second:d} task is handed in at entry 1")
-def step_two(context, count, second):
-    _hand_in(context, _steps(count, second))
+@when("a job of {count:d} tasks and then {second:d} tasks is submitted at entry 1")
+@when("a job of {count:d} tasks and then {second:d} task is submitted at entry 1")
+def step_two_steps(context, count, second):
+    _submit(context, _steps(count, second))
 
 
-@when("a job of {count:d} task that fails is handed in at entry 1")
-def step_fails(context, count):
-    _hand_in(context, _steps(count), fail=True)
+@when("a job of {count:d} task that fails is submitted at entry 1")
+def step_failing_job(context, count):
+    _submit(context, _steps(count), fail=True)
 
 
-@when("a job of {count:d} tasks of {seconds:d} s is handed in at entry 1")
-def step_long(context, count, seconds):
-    _hand_in(context, _steps(count), seconds=seconds)
+@when("a job of {count:d} tasks of {seconds:d} s is submitted at entry 1")
+def step_job(context, count, seconds):
+    _submit(context, _steps(count), seconds=seconds)
 
 
-@when("a job of {count:d} tasks of {seconds:d} s is handed in at entry 1 and runs")
-def step_long_runs(context, count, seconds):
-    _hand_in(context, _steps(count), seconds=seconds)
-    _until_started(context, count)
+@when("a job of {count:d} tasks of {seconds:d} s is submitted at entry 1 and runs")
+def step_job_runs(context, count, seconds):
+    _submit(context, _steps(count), seconds=seconds)
+    _wait_until_started(context, count)
 
 
 @when(
     "a job of {count:d} tasks of {seconds:d} s and then {second:d} task"
-    " is handed in at entry 1"
+    " is submitted at entry 1"
 )
-def step_long_two(context, count, seconds, second):
-    _hand_in(context, _steps(count, second), seconds=seconds)
+def step_two_step_job(context, count, seconds, second):
+    _submit(context, _steps(count, second), seconds=seconds)
 
 
 @when(
     "a job of {count:d} tasks of {seconds:d} s and then {second:d} tasks"
-    " of {more:d} s is handed in at entry 1 and runs"
+    " of {more:d} s is submitted at entry 1 and runs"
 )
-def step_long_two_runs(context, count, seconds, second, more):
-    _hand_in(context, _steps(count, second), seconds=seconds)
-    _until_started(context, count)
+def step_two_step_job_runs(context, count, seconds, second, more):
+    _submit(context, _steps(count, second), seconds=seconds)
+    _wait_until_started(context, count)
 
 
 @when(
     "a job of {count:d} tasks of {seconds:d} s and then {second:d} tasks"
-    " is handed in at the other entry"
+    " is submitted at the other entry"
 )
 def step_other_entry(context, count, seconds, second):
     cluster = context.cluster
@@ -125,44 +127,46 @@
     context.entry = next(
         n for n, entry in enumerate(cluster.entries) if entry is not context.leader
     )
-    _hand_in(context, _steps(count, second), seconds=seconds)
+    _submit(context, _steps(count, second), seconds=seconds)
 
 
-def _until_started(context, count):
+def _wait_until_started(context, count):
     wait_for(
         lambda: len(context.cluster.starts(context.job)) >= count,
-        SECONDS,
+        TIMEOUT_SECONDS,
         f"{count} tasks have started",
     )
 
 
 @then('it is shown as "{state}" at entry {entry:d}')
 def step_shown(context, state, entry):
-    context.cluster.until_state(context.job, state, entry=entry - 1, timeout=SECONDS)
+    context.cluster.until_state(
+        context.job, state, entry=entry - 1, timeout=TIMEOUT_SECONDS
+    )
 
 
 @then('it is shown as "{state}" at the other entry')
 def step_shown_other(context, state):
     context.cluster.until_state(
-        context.job, state, entry=context.entry, timeout=SECONDS
+        context.job, state, entry=context.entry, timeout=TIMEOUT_SECONDS
     )
 
 
 @then("each of its {count:d} tasks was started once")
-def step_once(context, count):
+def step_started_once(context, count):
     starts = context.cluster.starts(context.job)
     assert len(starts) == len(set(starts)) == count, starts
 
 
 @then("each of its {count:d} tasks was started once, the second step after the first")
-def step_once_in_order(context, count):
-    step_once(context, count)
+def step_started_once_in_order(context, count):
+    step_started_once(context, count)
     steps = [name.split(".")[2] for name in context.cluster.starts(context.job)]
     assert steps == sorted(steps), steps
 
 
 @then("its task was started {count:d} times")
-def step_times(context, count):
+def step_start_count(context, count):
     assert len(context.cluster.starts(context.job)) == count
 
 
@@ -224,15 +228,15 @@
     wait_for(ended, seconds, "all of its runs have ended")
 
 
-@when('the operator opens queue "{opened}" and closes queue "{closed}"')
-def step_reconfigure(context, opened, closed):
+@when('the operator adds queue "{opened}" and removes queue "{closed}"')
+def step_change_queues(context, opened, closed):
     context.cluster.configure(version=5, queues=(opened,))
 
 
 @then(
     'within {seconds:d} s both entries serve "{opened}" and answer 404 for "{closed}"'
 )
-def step_reconfigured(context, seconds, opened, closed):
+def step_queues_changed(context, seconds, opened, closed):
     def in_force():
         return all(
             context.cluster.call("GET", f"/{opened}/", entry=entry)[0] == 200
@@ -248,13 +252,13 @@
     context.cluster.operate({f"op/evacuate/{zone}": {}})
     processes = [*context.cluster.agents, *context.cluster.entries]
     wait_for(
-        lambda: all(_knows_zone(process, zone) for process in processes),
-        SECONDS,
+        lambda: all(_knows_zone_is_out(process, zone) for process in processes),
+        TIMEOUT_SECONDS,
         "every process knows that the zone is out",
     )
 
 
-def _knows_zone(process, zone):
+def _knows_zone_is_out(process, zone):
     return any(zone in line.get("zones", []) for line in process.log_lines())
 
 
@@ -266,26 +270,23 @@
 
 @then("the metrics of entry 1 count calls to the store")
 def step_metrics(context):
-    text = _inside(context, "/metrics").decode()
+    text = _read_admin_page(context, "/metrics").decode()
     assert 'wagtailcleat_store_calls_total{kind="write"}' in text, text
 
 
 @then("the state dump of entry 1 names its node")
 def step_state(context):
-    assert json.loads(_inside(context, "/state"))["node"] == "entry-1"
+    assert json.loads(_read_admin_page(context, "/state"))["node"] == "entry-1"
 
 
-def _inside(context, path):
+def _read_admin_page(context, path):
     cluster = context.cluster
     return http("GET", f"http://{host_of(1)}:{cluster.ports[1]}{path}").body
 
 
-# ---- faults
-
-
 @when("the leader is killed while the first step runs")
 def step_kill_leader(context):
-    _until_started(context, 4)
+    _wait_until_started(context, 4)
     context.leader.kill()
 
 
@@ -305,43 +306,43 @@
     agent.start()
 
 
-@when("the store answers nothing for {seconds:d} s")
-def step_store_away(context, seconds):
-    # The length of the fault itself, not a wait for something to happen.
+@when("the store answers no call for {seconds:d} s")
+def step_store_outage(context, seconds):
+    # The duration of the fault itself, not a wait for a condition.
     context.cluster.store.faults(hang=True)
     began = time.time()
     time.sleep(seconds)
     context.cluster.store.faults()
-    context.away = (began, time.time())
+    context.outage = (began, time.time())
 
 
-@then("the second step started while the store was away")
-def step_started_away(context):
-    began, ended = context.away
+@then("the second step started during the store outage")
+def step_started_in_outage(context):
+    began, ended = context.outage
     rows = [
         row
         for row in context.cluster.rows()
         if row[0] == "start" and row[3].startswith(f"{context.job}.0.1.")
     ]
-    assert rows and all(began < row[1] < ended for row in rows), (rows, context.away)
+    assert rows and all(began < row[1] < ended for row in rows), (rows, context.outage)
 
 
 @when("the store loses its next {count:d} answers to writes")
-def step_lose(context, count):
+def step_lose_answers(context, count):
     context.cluster.store.faults(lose_answers=count)
 
 
 @when(
-    "{count:d} jobs of {tasks:d} task are handed in while the store takes no writes"
+    "{count:d} jobs of {tasks:d} task are submitted while the store rejects writes"
     " of records"
 )
-def step_many(context, count, tasks):
+def step_many_jobs(context, count, tasks):
     cluster = context.cluster
     context.jobs = [cluster.submit(_steps(tasks), seconds=1.0) for _ in range(count)]
     cluster.store.faults(refused_bodies=True)
     wait_for(
         lambda: len([r for r in cluster.rows() if r[0] == "end"]) >= count,
-        SECONDS,
+        TIMEOUT_SECONDS,
         "all tasks have ended",
     )
     cluster.store.faults()
@@ -350,23 +351,23 @@
 @then('all of them are shown as "{state}" at entry 1')
 def step_all_shown(context, state):
     for job in context.jobs:
-        context.cluster.until_state(job, state, timeout=SECONDS)
+        context.cluster.until_state(job, state, timeout=TIMEOUT_SECONDS)
 
 
-@when("worker {number:d} carries orders out {seconds:g} s late")
-def step_late(context, number, seconds):
+@when("worker {number:d} carries out calls {seconds:g} s late")
+def step_late_worker(context, number, seconds):
     context.cluster.workers[number - 1].faults(late_seconds=seconds)
 
 
 @when("worker {number:d} answers again once it has started a task")
 def step_answers_again(context, number):
     worker = context.cluster.workers[number - 1]
-    wait_for(lambda: worker.record()["rows"], SECONDS, "an order was carried out")
+    wait_for(lambda: worker.record()["rows"], TIMEOUT_SECONDS, "a call was carried out")
     worker.faults()
 
 
-@when("worker {number:d} falls silent")
-def step_silent(context, number):
+@when("worker {number:d} stops answering")
+def step_silent_worker(context, number):
     context.cluster.workers[number - 1].faults(silent=True)
 
 
@@ -393,64 +394,64 @@
     wait_for(running, seconds, f"{count} tasks run on worker 2")
 
 
-@when("the store forgets its history")
-def step_forget(context):
+@when("the store compacts its history")
+def step_compact(context):
     http("POST", f"{context.cluster.store.url}/forget", {})
 
 
 @when("the leader is paused for {seconds:d} s")
 def step_pause(context, seconds):
-    # The length of the fault itself, not a wait for something to happen.
-    _until_started(context, 1)
+    # The duration of the fault itself, not a wait for a condition.
+    _wait_until_started(context, 1)
     context.leader.freeze()
     time.sleep(seconds)
     context.leader.thaw()
 
 
-@when("the store turns away the entry that does not lead")
-def step_turn_away(context):
+@when("the store rejects calls of the entry that does not lead")
+def step_reject_follower(context):
     cluster = context.cluster
     leader = cluster.leader()
     context.entry = next(
         number for number, e in enumerate(cluster.entries) if e is not leader
     )
     cluster.store.faults(turned_away=store_host(context.entry))
-    _until_store_lost(context, context.entry)
+    _wait_until_store_outage(context, context.entry)
 
 
-@when("a job of {count:d} tasks and then {second:d} task is handed in at that entry")
-def step_that_entry(context, count, second):
+@when("a job of {count:d} tasks and then {second:d} task is submitted at that entry")
+def step_submit_at_entry(context, count, second):
     context.job = secrets.token_hex(8)
     body = {"spec": "{}", "steps": _steps(count, second)}
     path = PREFIX + context.job
     context.answer = context.cluster.call("POST", path, body, entry=context.entry)
 
 
-@then("its first try is accepted")
-def step_first_try(context):
+@then("its first submission is accepted")
+def step_first_submission(context):
     assert context.answer[0] == 200, context.answer
 
 
-@when("the store refuses every call for a while")
-def step_refuses(context):
+@when("the store rejects every call")
+def step_store_rejects(context):
     cluster = context.cluster
     cluster.store.faults(busy=True)
-    _until_store_lost(context, 0)
+    _wait_until_store_outage(context, 0)
 
 
-def _until_store_lost(context, entry):
-    # An entry that has no reason to call the store notices with the next submission.
+def _wait_until_store_outage(context, entry):
+    # An entry without other calls to the store detects the outage on the next request.
     context.cluster.call("GET", PREFIX + secrets.token_hex(8), entry=entry)
     url = f"http://{host_of(entry + 1)}:{context.cluster.ports[1]}/metrics"
     wait_for(
         lambda: b"wagtailcleat_store_up 0.0" in http("GET", url).body,
-        SECONDS,
-        "the entry has noticed",
+        TIMEOUT_SECONDS,
+        "the entry has detected the outage of the store",
     )
 
 
-@then("a submission is refused within {seconds:d} s, with a time to come back")
-def step_refused(context, seconds):
+@then("a submission is refused within {seconds:d} s, with a time to retry after")
+def step_submission_refused(context, seconds):
     context.job = secrets.token_hex(8)
     body = {"spec": "{}", "steps": _steps(1)}
     began = time.monotonic()
@@ -470,31 +471,37 @@
     assert not context.cluster.stored(f"wagtailcleat/jobs/{context.job}")
 
 
-@when("the store turns away the entry that leads, and the other one leads")
-def step_turn_away_leader(context):
+@when(
+    "the store rejects calls of the entry that leads, and the other one becomes leader"
+)
+def step_reject_leader(context):
     cluster = context.cluster
     leader = cluster.leader()
     context.entry = cluster.entries.index(leader)
     cluster.store.faults(turned_away=store_host(context.entry))
-    wait_for(lambda: cluster.leader() is not leader, SECONDS, "the other entry leads")
+    wait_for(
+        lambda: cluster.leader() is not leader, TIMEOUT_SECONDS, "the other entry leads"
+    )
 
 
-@given('the operator opens the advised queue "{name}"')
+@given('the operator adds the advised queue "{name}"')
 def step_advised_queue(context, name):
     cluster = context.cluster
     cluster.configure(version=2, queues=("holds", name))
     context.prefix = f"/{name}/"
     wait_for(
-        lambda: cluster.call("GET", context.prefix)[0] == 200, SECONDS, "queue opens"
+        lambda: cluster.call("GET", context.prefix)[0] == 200,
+        TIMEOUT_SECONDS,
+        "the entry serves the added queue",
     )
 
 
-@when("the advice service grants worker {number:d} alone")
-def step_grants(context, number):
+@when("the advice service grants tickets for worker {number:d} only")
+def step_grant_tickets(context, number):
     context.cluster.store.faults(granted=[f"i-{number}"])
 
 
-@when("a job of {count:d} tasks that need tickets is handed in there")
+@when("a job of {count:d} tasks that need tickets is submitted to that queue")
 def step_ticketed(context, count):
     context.job = context.cluster.submit(
         _steps(count), prefix=context.prefix, ticketed=True
@@ -506,7 +513,7 @@
     cluster = context.cluster
     wait_for(
         lambda: cluster.state(context.job, prefix=context.prefix) == "done",
-        SECONDS,
+        TIMEOUT_SECONDS,
         "the advised job is done",
     )
     starts = [
