--- a/features/platform/adapter.feature
+++ b/features/platform/adapter.feature
@@ -6,7 +6,7 @@
     And a heartbeat with an unknown state or a missing field, or without JSON, is rejected
 
   Scenario: A submission is decoded
-    # Guards against jobs that no worker can run, stored because nobody checked them.
+    # Guards against a job with invalid steps that is stored but can never end.
     Then a submission of 2 steps is decoded to a job whose second step depends on the first
     And a submission that depends on a later step, or has no steps or too many tasks, is rejected
 
--- a/wagtailcleat/platform/operators.py
+++ b/wagtailcleat/platform/operators.py
@@ -1,7 +1,7 @@
 """Decoding of the keys that operators write into the store.
 
-These are the configuration and the availability zones to evacuate. `operator_watch` in
-`wagtailcleat.cluster` reads them.
+These are the configuration and the availability zones taken out of service.
+`operator_watch` in `wagtailcleat.cluster` reads them.
 """
 
 from typing import Any
@@ -66,7 +66,7 @@
 
 
 def zone_out(key: str) -> ZoneName | None:
-    """Return the availability zone that `key` evacuates; None for any other key."""
+    """Return the zone that `key` takes out of service; None for any other key."""
     if not key.startswith(ZONE_OUT_PREFIX):
         return None
     return ZoneName(key.removeprefix(ZONE_OUT_PREFIX))
