--- a/features/steps/configuration_fuzz_steps.py
+++ b/features/steps/configuration_fuzz_steps.py
@@ -14,7 +14,7 @@
 from standins.in_process_nodes import Deployment
 from wagtailcleat.configuration.keys import CONFIGURATION
 from wagtailcleat.configuration.models import Vm, Zone
-from wagtailcleat.configuration.parts import cut
+from wagtailcleat.configuration.parts import split_parts
 from wagtailcleat.configuration.writer import Accepted, decode, write
 
 QUIET_SECONDS = 10.0
@@ -177,7 +177,7 @@
         stored = [e for e in events if e.kv.key.decode() == CONFIGURATION]
         configurations = [decode(event.kv.value) for event in stored]
         self._check_answers(configurations)
-        return {c.revision: cut(c) for c in configurations}
+        return {c.revision: split_parts(c) for c in configurations}
 
     def _check_answers(self, configurations):
         # What operators were told against what the store took: each change at most
@@ -199,7 +199,9 @@
             revisions = [configuration.revision for configuration in seen]
             assert revisions == sorted(set(revisions)), (name, revisions)
             for configuration in seen:
-                assert cut(configuration) == accepted[configuration.revision], name
+                assert split_parts(configuration) == accepted[configuration.revision], (
+                    name
+                )
         newest = max(accepted, default=0)
         for name, node in self.deployment.node_by_name.items():
             assert node.in_force.revision == newest, (name, node.in_force, newest)
--- a/wagtailcleat/checked.py
+++ b/wagtailcleat/checked.py
@@ -54,17 +54,19 @@
         SettingsError: with every problem found, each `path: sentence`.
 
     """
-    value, problems = convert_partly(raw, kind, path=path)
+    value, problems = convert_with_problems(raw, kind, path=path)
     if problems:
         raise SettingsError(problems)
     return value
 
 
-def convert_partly(raw: Any, kind: type[T], *, path: str = "$") -> tuple[T, list[str]]:
+def convert_with_problems(
+    raw: Any, kind: type[T], *, path: str = "$"
+) -> tuple[T, list[str]]:
     """Return `raw` as a `kind`, and every problem found.
 
-    What could not be read is None in the value, so that a check of the whole can
-    go on with the rest and everything wrong is told at once.
+    What could not be converted is None in the value, so that checks of the whole can
+    continue with the rest and all problems are reported at once.
     """
     problems: list[str] = []
     return _convert(raw, kind, path, problems), problems
--- a/wagtailcleat/configuration/__init__.py
+++ b/wagtailcleat/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' inventory and rules, and their spread."""
+"""The operators' inventory and rules: checks, storage and propagation."""
--- a/wagtailcleat/configuration/follow.py
+++ b/wagtailcleat/configuration/follow.py
@@ -1,4 +1,7 @@
-"""Follows the configuration in the store; few processes do, the rest hear of it."""
+"""Watches the configuration in the store and passes each new one on.
+
+Only entries watch the store; all other processes get the configuration by gossip.
+"""
 
 import asyncio
 import random
@@ -16,11 +19,11 @@
 
 log = part_logger("configuration")
 
-RETRY_SECONDS = 1.0
+MEAN_RETRY_SECONDS = 1.0
 
 
 class Follower:
-    """Puts each configuration that the store accepts in force here."""
+    """Puts each configuration that the store accepted in force at this process."""
 
     def __init__(
         self,
@@ -31,7 +34,7 @@
         clock: Clock,
         rng: random.Random,
     ) -> None:
-        """Follow `store` and push what is new through `gossiper`."""
+        """Watch `store` and announce new revisions through `gossiper`."""
         self._store = store
         self._in_force = in_force
         self._gossiper = gossiper
@@ -39,16 +42,16 @@
         self._random = rng
 
     async def run(self) -> None:
-        """Read, then watch; again whenever the watch is cut."""
+        """Read the configuration, then watch it; start over when the watch ends."""
         while True:
             stored = await read(self._store)
             if not isinstance(stored, Unavailable):
-                self._take(stored.configuration)
-                start = stored.mod_revision + 1
-                await self._store.watch(CONFIGURATION, start, self._on_event)
-            await asyncio.sleep(RETRY_SECONDS * self._random.uniform(0.5, 1.5))
+                self._adopt(stored.configuration)
+                start_revision = stored.mod_revision + 1
+                await self._store.watch(CONFIGURATION, start_revision, self._on_event)
+            await asyncio.sleep(MEAN_RETRY_SECONDS * self._random.uniform(0.5, 1.5))
 
-    def _take(self, configuration: Configuration) -> None:
+    def _adopt(self, configuration: Configuration) -> None:
         if self._in_force.adopt(configuration, self._clock()):
             revision = configuration.revision
             log.info("A configuration is in force", extra={"revision": revision})
@@ -58,6 +61,6 @@
         if event.value is None or event.key != CONFIGURATION:
             return
         try:
-            self._take(decode(event.value))
+            self._adopt(decode(event.value))
         except SettingsError as error:
-            log.error("The store holds no configuration", extra={"why": str(error)})
+            log.error("The stored configuration is invalid", extra={"why": str(error)})
--- a/wagtailcleat/configuration/keys.py
+++ b/wagtailcleat/configuration/keys.py
@@ -1,4 +1,4 @@
-"""Keys in the platform's store, all below one prefix."""
+"""Names of all keys in the platform's store, which share one prefix."""
 
 from wagtailcleat.ids import Revision, ShardId
 
@@ -14,17 +14,17 @@
 
 
 def shard_epoch(shard: ShardId) -> str:
-    """Return the key of a shard's epoch; every commit compares it."""
+    """Return the key of a shard's epoch, the fencing token of its commits."""
     return shard_prefix(shard) + "epoch"
 
 
 def shard_owner(shard: ShardId) -> str:
-    """Return the key that names a shard's owner while its store lease lasts."""
+    """Return the key that names a shard's owner; it expires with the owner's lease."""
     return shard_prefix(shard) + "owner"
 
 
 def shard_snapshot(shard: ShardId) -> str:
-    """Return the key that tells of how many parts a shard's snapshot consists."""
+    """Return the key that holds the number of parts of a shard's snapshot."""
     return shard_prefix(shard) + "snapshot"
 
 
@@ -34,7 +34,7 @@
 
 
 def shard_earlier(shard: ShardId) -> str:
-    """Return the key of the earlier owners that may still hand out grants."""
+    """Return the key of a shard's earlier owners that may still hand out grants."""
     return shard_prefix(shard) + "earlier"
 
 
@@ -44,10 +44,10 @@
 
 
 def shard_log_entry(shard: ShardId, number: int) -> str:
-    """Return the key of one log entry."""
+    """Return the key of one entry of a shard's log."""
     return f"{shard_log(shard)}{number:012d}"
 
 
 def change_record(revision: Revision) -> str:
-    """Return the key that records what the change to `revision` replaced."""
+    """Return the key of the record of the change that made `revision`."""
     return f"{CHANGES}{revision:012d}"
--- a/wagtailcleat/configuration/models.py
+++ b/wagtailcleat/configuration/models.py
@@ -1,4 +1,4 @@
-"""The operators' inventory and rules, as checked values."""
+"""The operators' inventory and rules as structs; every process reads them."""
 
 from typing import Annotated
 
@@ -22,7 +22,7 @@
 
 
 class Vm(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A VM, with all that it holds."""
+    """A VM and its total capacity."""
 
     name: Name
     zone: Name
@@ -33,12 +33,12 @@
 
     @property
     def capacity(self) -> Resources:
-        """All that the VM holds."""
+        """The VM's total capacity."""
         return Resources(self.cores, self.memory_mb, self.accelerators)
 
 
 class Service(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A latency-critical service; each of its endpoints takes the amounts given."""
+    """A latency-critical service; each of its endpoints needs the amounts given."""
 
     name: Name
     vms: list[Name]
@@ -53,12 +53,12 @@
 
     @property
     def size(self) -> Resources:
-        """What one endpoint of the service takes on its VM."""
+        """The resources that one endpoint of the service needs on its VM."""
         return Resources(self.cores, self.memory_mb, self.accelerators)
 
 
 class Inventory(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What there is: zones, VMs and the services placed on them."""
+    """The availability zones, the VMs and the services placed on them."""
 
     zones: list[Zone] = []
     vms: list[Vm] = []
@@ -66,23 +66,23 @@
 
 
 class Team(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A team and the most its batch tasks may take at one time."""
+    """A team and the quota of its batch tasks."""
 
     name: Name
     cores: Cores
     memory_mb: MemoryMb
     accelerators: Accelerators = 0
     shards: Annotated[int, msgspec.Meta(ge=1, le=1024)] = 1
-    """Over how many shards the team's jobs and quota are spread."""
+    """Number of shards over which the team's jobs and quota are spread."""
 
     @property
     def quota(self) -> Resources:
-        """The most the team's running tasks may take together."""
+        """The upper bound of the resources of all running tasks of the team."""
         return Resources(self.cores, self.memory_mb, self.accelerators)
 
 
 class Rules(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What operators add on top of the inventory."""
+    """Policies of the operators: team quotas and limits of retries."""
 
     teams: list[Team] = []
     retry_share: Share = 0.1
@@ -90,7 +90,10 @@
 
 
 class Configuration(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One accepted configuration; a higher revision replaces a lower one."""
+    """One accepted configuration; a higher revision replaces a lower one.
+
+    Revision 0 is the empty configuration before the first change.
+    """
 
     revision: Revision = Revision(0)
     change_id: str = ""
@@ -99,41 +102,41 @@
     zones_out: list[Name] = []
 
 
-class Placed(msgspec.Struct, frozen=True):
-    """One VM as the configuration has it, with its services."""
+class VmWithServices(msgspec.Struct, frozen=True):
+    """A VM of the inventory, with the services placed on it."""
 
     vm: Vm
     services: list[Service]
 
     @property
     def for_services(self) -> Resources:
-        """What the VM's services take together."""
+        """The resources that the VM's services need together."""
         total = Resources()
         for service in self.services:
             total = total + service.size
         return total
 
 
-def placed(configuration: Configuration, vm: VmName) -> Placed | None:
-    """Return what stands on `vm`, or nothing where the inventory lacks it."""
+def placed(configuration: Configuration, vm: VmName) -> VmWithServices | None:
+    """Return `vm` with its services, or None where the inventory lacks it."""
     found = next((v for v in configuration.inventory.vms if v.name == vm), None)
     if found is None:
         return None
     services = [s for s in configuration.inventory.services if vm in s.vms]
-    return Placed(found, services)
+    return VmWithServices(found, services)
 
 
 def service_named(configuration: Configuration, name: ServiceName) -> Service | None:
-    """Return the service of that name, if there is one."""
+    """Return the service of that name, or None."""
     services = configuration.inventory.services
     return next((s for s in services if s.name == name), None)
 
 
 def team_named(configuration: Configuration, name: TeamName) -> Team | None:
-    """Return the team of that name, if there is one."""
+    """Return the team of that name, or None."""
     return next((t for t in configuration.rules.teams if t.name == name), None)
 
 
 def zone_is_out(configuration: Configuration, zone: ZoneName) -> bool:
-    """Tell whether operators have taken `zone` out of service."""
+    """Return whether operators have taken `zone` out of service."""
     return zone in configuration.zones_out
--- a/wagtailcleat/configuration/writer.py
+++ b/wagtailcleat/configuration/writer.py
@@ -1,4 +1,7 @@
-"""The one way to change the configuration: compare-and-swap on its revision."""
+"""Writes of the configuration: a compare-and-swap on the revision of its key.
+
+The operators' API of an entry makes every change here; nothing else writes the key.
+"""
 
 import asyncio
 import json
@@ -9,12 +12,12 @@
 
 from wagtailcleat.configuration.check import problems
 from wagtailcleat.configuration.history import (
-    RECORDS_KEPT,
+    MAX_RECORDS,
     PartChange,
+    accepted_revision,
     changes_since,
     make_record,
     read_records,
-    revision_of,
 )
 from wagtailcleat.configuration.keys import CONFIGURATION, ZONES_OUT, change_record
 from wagtailcleat.configuration.models import Configuration
@@ -31,16 +34,16 @@
     Written,
 )
 
-SETTLE_TRIES = 3
-SETTLE_PAUSE_SECONDS = 0.2
+MAX_ATTEMPTS = 3
+RETRY_DELAY_SECONDS = 0.2
 
 
 @dataclass(frozen=True)
 class Accepted:
-    """The change is in the store: it will be in force everywhere in seconds.
+    """The change is in the store and will be in force everywhere within seconds.
 
-    `revision` is the change's own; others may have come after it already, and
-    `configuration` is the newest read.
+    `revision` is the one that the change made; others may have followed it already,
+    and `configuration` is the newest that was read.
     """
 
     revision: Revision
@@ -49,9 +52,10 @@
 
 @dataclass(frozen=True)
 class Raced:
-    """Another change came first; nothing was written.
+    """The base revision is not the current one; nothing was written.
 
-    `changes` is what differs from the operator's base; None where that is too old.
+    `changes` are the parts that differ between `base` and `current`; None where the
+    records do not reach back to `base` or one was too large to name its parts.
     """
 
     base: Revision
@@ -61,21 +65,21 @@
 
 @dataclass(frozen=True)
 class Faulty:
-    """The change does not hang together; nothing was written."""
+    """The change would make the configuration invalid; nothing was written."""
 
     problems: list[str]
 
 
 @dataclass(frozen=True)
 class Missing:
-    """What the change names is not in the configuration; nothing was written."""
+    """An object that the change names does not exist; nothing was written."""
 
     reason: str
 
 
 @dataclass(frozen=True)
 class StoreFailed:
-    """The store did not answer; `unknown` tells whether it may have written."""
+    """The store did not answer; `unknown` is true where it may have written."""
 
     reason: str
     unknown: bool
@@ -87,16 +91,21 @@
 
 @dataclass(frozen=True)
 class Stored:
-    """The accepted configuration and the store's revision of its key."""
+    """The accepted configuration and the store's modification revision of its key."""
 
     configuration: Configuration
     mod_revision: int
 
 
 def decode(value: bytes) -> Configuration:
-    """Return the configuration that the store's value holds."""
-    # Read by its type, not problem by problem: at the target size the slow reading
-    # held an entry up for 90 ms a change. What is stored was checked when written.
+    """Return the configuration encoded in the store's value.
+
+    Raises:
+        SettingsError: the value is no configuration.
+
+    """
+    # Decoded by msgspec directly. `convert`, which reports every problem, blocks an
+    # entry for 90 ms a change at the target size. The value was checked when written.
     try:
         return msgspec.json.decode(value, type=Configuration)
     except msgspec.MsgspecError as error:
@@ -104,7 +113,7 @@
 
 
 async def read(store: Store) -> Stored | Unavailable:
-    """Return the accepted configuration; revision 0 where there is none yet."""
+    """Return the accepted configuration; the empty one, revision 0, where none is."""
     found = await store.get(CONFIGURATION)
     if isinstance(found, Found):
         return Stored(decode(found.value), found.mod_revision)
@@ -116,18 +125,18 @@
 async def write(
     store: Store, base: Revision | None, change_id: str, change: Change
 ) -> Changed:
-    """Apply `change` to the accepted configuration.
+    """Apply `change` to the accepted configuration and store the result.
 
-    Parameters: `base` is the revision that the operator saw (None: any, for a
-    change that does not depend on it); `change_id` makes a repeated call the same
-    change, also when other changes came after its first call.
+    Parameters: `base` is the revision on which the operator based the change (None
+    for a change that applies to any); `change_id` makes the call idempotent, also
+    when other changes came after its first call.
     """
-    for _ in range(SETTLE_TRIES):
+    for _ in range(MAX_ATTEMPTS):
         stored = await read(store)
         if isinstance(stored, Unavailable):
             return StoreFailed(stored.reason, unknown=False)
         current = stored.configuration
-        earlier = await _accepted_or_raced(store, base, change_id, current)
+        earlier = await _earlier_outcome(store, base, change_id, current)
         if earlier is not None:
             return earlier
         after = checked_change(current, change_id, change)
@@ -135,14 +144,14 @@
             return after
         if after.revision == current.revision:
             return Accepted(current.revision, current)
-        txn = _txn(stored, after)
+        txn = _make_transaction(stored, after)
         outcome = await store.write(txn)
         if isinstance(outcome, Written):
             return Accepted(after.revision, after)
         if isinstance(outcome, Unavailable):
             return StoreFailed(outcome.reason, unknown=False)
         if isinstance(outcome, Unknown):
-            return await _settle(store, txn, base, after, outcome)
+            return await _resolve_unknown_write(store, txn, base, after, outcome)
     return StoreFailed("other changes kept coming first", unknown=False)
 
 
@@ -164,23 +173,23 @@
 async def raced(
     store: Store, base: Revision, current: Configuration
 ) -> Raced | StoreFailed:
-    """Return the refusal of a change whose base is not the present revision."""
+    """Return the refusal of a change whose base is not the current revision."""
     records = await read_records(store)
     if isinstance(records, Unavailable):
         return StoreFailed(records.reason, unknown=False)
     return Raced(base, current, changes_since(base, records, current))
 
 
-async def _accepted_or_raced(
+async def _earlier_outcome(
     store: Store, base: Revision | None, change_id: str, current: Configuration
 ) -> Accepted | Raced | StoreFailed | None:
     # The same change may have been accepted on an earlier call whose answer was
-    # lost, and others after it. Were it taken for new, a zone taken out by it and
-    # since brought back by another operator would be out a second time.
+    # lost, with other changes after it. Applied again, it could take a zone out a
+    # second time that another operator has since brought back.
     records = await read_records(store)
     if isinstance(records, Unavailable):
         return StoreFailed(records.reason, unknown=False)
-    revision = revision_of(records, change_id)
+    revision = accepted_revision(records, change_id)
     if revision is not None:
         return Accepted(revision, current)
     if base is None or base == current.revision:
@@ -188,18 +197,18 @@
     return Raced(base, current, changes_since(base, records, current))
 
 
-async def _settle(
+async def _resolve_unknown_write(
     store: Store,
     txn: Txn,
     base: Revision | None,
     after: Configuration,
     unknown: Unknown,
 ) -> Changed:
-    # The answer of a write was lost. The same transaction, sent again, can take
-    # effect at most once (its compare holds once), so a repeat is safe; and the
-    # record of the change, read back, tells whose write it was.
-    for _ in range(SETTLE_TRIES):
-        await asyncio.sleep(SETTLE_PAUSE_SECONDS)
+    # The answer to a write was lost. Sending the same transaction again is safe: its
+    # compare holds at most once. The change record, read back, shows which write took
+    # effect.
+    for _ in range(MAX_ATTEMPTS):
+        await asyncio.sleep(RETRY_DELAY_SECONDS)
         outcome = await store.write(txn)
         if isinstance(outcome, Written):
             return Accepted(after.revision, after)
@@ -214,24 +223,26 @@
         records = await read_records(store)
         if isinstance(records, Unavailable):
             continue
-        if revision_of(records, after.change_id) is not None:
+        if accepted_revision(records, after.change_id) is not None:
             return Accepted(after.revision, current)
-        seen = Revision(after.revision - 1) if base is None else base
-        return Raced(seen, current, changes_since(seen, records, current))
+        base_revision = Revision(after.revision - 1) if base is None else base
+        return Raced(
+            base_revision, current, changes_since(base_revision, records, current)
+        )
     return StoreFailed(unknown.reason, unknown=True)
 
 
-def _txn(stored: Stored, after: Configuration) -> Txn:
+def _make_transaction(stored: Stored, after: Configuration) -> Txn:
     puts = {
         CONFIGURATION: msgspec.json.encode(after),
         change_record(after.revision): make_record(stored.configuration, after),
     }
     if sorted(after.zones_out) != sorted(stored.configuration.zones_out):
-        # Every assignment's commit compares this key, so that no commit made
-        # after a zone was taken out can place a task there.
+        # The commit of each assignment compares this key, so that none made after
+        # a zone was taken out can place a task there.
         puts[ZONES_OUT] = json.dumps(sorted(after.zones_out)).encode()
     compare = Compare(CONFIGURATION, mod_revision=stored.mod_revision)
     deletes = []
-    if after.revision > RECORDS_KEPT:
-        deletes = [change_record(Revision(after.revision - RECORDS_KEPT))]
+    if after.revision > MAX_RECORDS:
+        deletes = [change_record(Revision(after.revision - MAX_RECORDS))]
     return Txn([compare], puts, deletes=deletes)
--- a/wagtailcleat/settings.py
+++ b/wagtailcleat/settings.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from wagtailcleat.checked import convert_partly, read_json
+from wagtailcleat.checked import convert_with_problems, read_json
 from wagtailcleat.configuration.models import Name
 from wagtailcleat.errors import SettingsError
 from wagtailcleat.routing.choose import Policy
@@ -125,7 +125,7 @@
         text = path.read_bytes()
     except OSError as error:
         raise SettingsError([f"{path}: {error.strerror}"]) from None
-    settings, found = convert_partly(read_json(text), kind)
+    settings, found = convert_with_problems(read_json(text), kind)
     if settings is not None:
         found += _whole_problems(settings)
     if found:
