--- a/bench/troubled.py
+++ b/bench/troubled.py
@@ -15,8 +15,8 @@
 
 import cyclopts
 
-from wagtailcleat.operator.explain import parsed
-from wagtailcleat.operator.lost_time import moment
+from wagtailcleat.operator.explain import parse_line
+from wagtailcleat.operator.lost_time import line_time
 
 Line = dict[str, Any]
 Objectives = dict[str, tuple[float, float]]
@@ -27,7 +27,7 @@
     found: dict[str, list[Line]] = defaultdict(list)
     with path.open(errors="replace") as opened:
         for text in opened:
-            line = parsed(text)
+            line = parse_line(text)
             job = line and (line.get("job") or str(line.get("run", "")).split("/")[0])
             if line and job:
                 found[job].append(line)
@@ -56,9 +56,9 @@
 
 
 def _late_seconds(lines: list[Line], stretch: float, target: float) -> float:
-    started = {line["run"]: moment(line) for line in _with(lines, "Starts")}
+    started = {line["run"]: line_time(line) for line in _with(lines, "Starts")}
     ends = _with(lines, "Run ended")
-    accepted = [moment(line) for line in lines if "queue" in line]
+    accepted = [line_time(line) for line in lines if "queue" in line]
     cancelled = _with(lines, "Cancelled") or _with(lines, "Cancelled in the store")
     if not ends or not accepted or cancelled:
         return 0.0
@@ -66,12 +66,12 @@
     for line in ends:
         if line["run"] in started and line["why"] in ("succeeded", "failed"):
             task = line["run"].split("#")[0]
-            work[task] += (moment(line) - started[line["run"]]).total_seconds()
+            work[task] += (line_time(line) - started[line["run"]]).total_seconds()
     longest: dict[str, float] = defaultdict(float)
     for task, seconds in work.items():
         step = task.rpartition("/")[0]
         longest[step] = max(longest[step], seconds)
-    took = (moment(ends[-1]) - accepted[0]).total_seconds()
+    took = (line_time(ends[-1]) - accepted[0]).total_seconds()
     return took - stretch * sum(longest.values()) - target
 
 
--- a/features/steps/platform_adapter_steps.py
+++ b/features/steps/platform_adapter_steps.py
@@ -16,7 +16,7 @@
 from standins.processes import wait_for
 from wagtailcleat.ids import JobId, ServiceName
 from wagtailcleat.logs import BoundedOutput
-from wagtailcleat.operator.explain import missing, read_story, tell
+from wagtailcleat.operator.explain import gap_lines, read_timeline, timeline_lines
 from wagtailcleat.platform.exchange import Exchange, NoAnswer, Reply
 from wagtailcleat.platform.fields import BodyError
 from wagtailcleat.platform.heartbeats import decode_heartbeat
@@ -238,7 +238,7 @@
         lines = []
         for process in [*cluster.entries, *cluster.agents]:
             lines += [json.dumps(line) for line in process.log_lines()]
-        return list(tell(read_story(context.job, lines)))
+        return list(timeline_lines(read_timeline(context.job, lines)))
 
     def in_order():
         texts = iter(told())
@@ -259,24 +259,24 @@
 @given('log lines of job "{job}" with a torn line and a foreign line')
 def step_torn(context, job):
     own = _own_lines()
-    context.story = read_story(job, [own[0], own[1], own[1][:40], "hello"])
+    context.story = read_timeline(job, [own[0], own[1], own[1][:40], "hello"])
 
 
 @given('log lines of job "{job}" behind columns of time and node')
 def step_columns(context, job):
     lines = [f"  12.0001 entry-1 {line}" for line in _own_lines()]
-    context.story = read_story(job, lines)
+    context.story = read_timeline(job, lines)
 
 
 @then("its story has {own:d} lines of its own and {bad:d} that could not be read")
 def step_counts(context, own, bad):
     story = context.story
-    assert (len(story.own), story.unreadable) == (own, bad), story
+    assert (len(story.job_lines), story.unreadable) == (own, bad), story
 
 
 @then('it says that run "{run}" has no end')
 def step_no_end(context, run):
-    told = list(missing(context.story))
+    told = list(gap_lines(context.story))
     assert any(run in text and "how it ended" in text for text in told), told
 
 
@@ -300,7 +300,7 @@
         _timed(12, "leader: Starts", run=second, slack=-5.0, due=-3.0),
         _timed(16, "leader: Run ended", run=second, why="succeeded"),
     ]
-    context.story = read_story("a1", map(json.dumps, lines))
+    context.story = read_timeline("a1", map(json.dumps, lines))
 
 
 @given("log lines of two runs that started again, one after its worker began anew")
@@ -317,7 +317,7 @@
         _timed(14, starts, run="a1/0/0/0#2", agent="agent-1"),
         _timed(14, starts, run="a1/0/0/1#2", agent="agent-2"),
     ]
-    context.story = read_story("a1", map(json.dumps, lines))
+    context.story = read_timeline("a1", map(json.dumps, lines))
 
 
 @given("log lines of a job refused 9 s after its entry lost the store and a stream")
@@ -333,35 +333,39 @@
         _timed(10, "submissions: Not accepted", job="a1", outcome="not_stored"),
         _timed(11, "leader: Starts", run="a1/0/0/0#1", agent="agent-1"),
     ]
-    context.story = read_story("a1", map(json.dumps, lines))
+    context.story = read_timeline("a1", map(json.dumps, lines))
 
 
 @then('its story shows "{message}" of "{moment}"')
 def step_shows(context, message, moment):
-    told = list(tell(context.story))
+    told = list(timeline_lines(context.story))
     assert any(message in text and f"{moment},000" in text for text in told), told
 
 
 @then('its story shows no line of "{moment}"')
 def step_shows_none(context, moment):
-    told = list(tell(context.story))
+    told = list(timeline_lines(context.story))
     assert not any(f"{moment},000" in text for text in told), told
 
 
 @then('it says that run "{run}" was lost with its worker')
 def step_lost_with_worker(context, run):
-    told = list(missing(context.story))
+    told = list(gap_lines(context.story))
     assert any(run in text and "was lost" in text for text in told), told
 
 
 def _after_objective(story):
-    found = [re.search(r"([0-9.]+) s after its objective", t) for t in tell(story)]
+    found = [
+        re.search(r"([0-9.]+) s after its objective", t) for t in timeline_lines(story)
+    ]
     return [float(match[1]) for match in found if match]
 
 
 @then("its story says that it ended {seconds:g} s after its objective")
 def step_late_by(context, seconds):
-    assert _after_objective(context.story) == [seconds], list(tell(context.story))
+    assert _after_objective(context.story) == [seconds], list(
+        timeline_lines(context.story)
+    )
 
 
 @then(
@@ -374,9 +378,9 @@
         for process in [*context.cluster.entries, *context.cluster.agents]
         for line in process.log_lines()
     ]
-    story = read_story(context.job, lines)
+    story = read_timeline(context.job, lines)
     (late,) = _after_objective(story)
-    assert least < late < most, list(tell(story))
+    assert least < late < most, list(timeline_lines(story))
 
 
 @then('it says first that {seconds:g} s were lost from "{start}" to "{end}"')
@@ -390,7 +394,7 @@
 
 
 def _lost(context, position, seconds, start, end):
-    told = [text for text in tell(context.story) if "lost" in text]
+    told = [text for text in timeline_lines(context.story) if "lost" in text]
     text = told[position]
     assert f"lost {seconds:.1f} s" in text, told
     assert f"{start},000 and" in text and f"{end},000" in text, told
@@ -398,7 +402,7 @@
 
 @then("its story says nothing of an objective")
 def step_no_objective(context):
-    assert not any("objective" in text for text in tell(context.story))
+    assert not any("objective" in text for text in timeline_lines(context.story))
 
 
 @given("a log whose reader stalls")
--- a/wagtailcleat/operator/__init__.py
+++ b/wagtailcleat/operator/__init__.py
@@ -1,1 +1,1 @@
-"""The command line of operators."""
+"""The operators' command line."""
--- a/wagtailcleat/operator/app.py
+++ b/wagtailcleat/operator/app.py
@@ -1,8 +1,8 @@
 """`wagtailcleat`: the operators' command line.
 
-Exit codes: 0 done, 1 refused or problems found, 2 wrong usage, 3 another change
-came first, 4 no entry or store reached and nothing done, 5 the outcome is unknown,
-6 what was waited for did not come in time.
+Exit codes: 0 success, 1 refused or problems found, 2 wrong usage, 3 conflict with
+another change, 4 no entry or store reached and nothing done, 5 outcome unknown, 6 the
+awaited state was not reached within the timeout.
 """
 
 from pathlib import Path
@@ -13,7 +13,7 @@
 from wagtailcleat.clock import boot_time
 from wagtailcleat.command_line import run_program
 from wagtailcleat.operator.client import Client
-from wagtailcleat.operator.configuration import Application, show_configuration
+from wagtailcleat.operator.configuration import ApplyRequest, show_configuration
 from wagtailcleat.operator.configuration import apply as apply_files
 from wagtailcleat.operator.configuration import check as check_files
 from wagtailcleat.operator.exits import Exit
@@ -33,11 +33,11 @@
     wait_for_revision,
 )
 from wagtailcleat.operator.options import Options, run
-from wagtailcleat.operator.zones import move_and_wait, show_zone
+from wagtailcleat.operator.zones import change_zone_and_wait, show_zone
 
-ZONE_SECONDS = 300.0
-REVISION_SECONDS = 30.0
-JOB_SECONDS = 86_400.0
+ZONE_TIMEOUT_SECONDS = 300.0
+REVISION_TIMEOUT_SECONDS = 30.0
+JOB_TIMEOUT_SECONDS = 86_400.0
 DEFAULTS = Options()
 
 app = App(name="wagtailcleat", help=__doc__, version_flags=[])
@@ -49,16 +49,18 @@
 app.command(config_app)
 
 Fields = Annotated[str, Parameter(help="Only these fields, separated by commas.")]
-Wait = Annotated[bool, Parameter(help="Show progress until it is done.", negative=())]
-Timeout = Annotated[float, Parameter(help="Seconds to wait at the most.")]
+Wait = Annotated[
+    bool, Parameter(help="Show progress until it is complete.", negative=())
+]
+Timeout = Annotated[float, Parameter(help="Maximum seconds to wait.")]
 ChangeId = Annotated[
-    str, Parameter(help="Repeats the change of this id, whose answer was lost.")
+    str, Parameter(help="Id of a change to repeat, after its answer was lost.")
 ]
 
 
 @app.command
 def explain(job: str, *files: Path) -> int:
-    """Tell the story of a job from the logs of many processes, in order of time."""
+    """Print the timeline of a job from the logs of many processes."""
     return explain_job(job, list(files))
 
 
@@ -78,7 +80,7 @@
     change_id: ChangeId = "",
     options: Options = DEFAULTS,
 ) -> int:
-    """Apply an inventory, rules, or both, and print what differs.
+    """Apply an inventory, rules, or both, and print the difference.
 
     Parameters
     ----------
@@ -87,13 +89,13 @@
     rules
         Rules file, JSON.
     dry_run
-        Only print what would differ.
+        Only print the difference.
     base_revision
-        The revision that the files were made from; by default the present one.
+        Revision on which the files are based; by default the current one.
 
     """
-    asked = Application(inventory, rules, dry_run, base_revision, change_id)
-    return run(options, False, lambda client: apply_files(client, options, asked))
+    request = ApplyRequest(inventory, rules, dry_run, base_revision, change_id)
+    return run(options, False, lambda client: apply_files(client, options, request))
 
 
 @config_app.command(name="show")
@@ -108,7 +110,7 @@
     Parameters
     ----------
     in_force
-        The one in force at the entry; answered without the store.
+        Print the one in force at the entry, which needs no store.
 
     """
     return run(
@@ -125,12 +127,12 @@
     zone: str,
     *,
     wait: Wait = False,
-    timeout: Timeout = ZONE_SECONDS,
+    timeout: Timeout = ZONE_TIMEOUT_SECONDS,
     change_id: ChangeId = "",
     options: Options = DEFAULTS,
 ) -> int:
-    """Take an availability zone out of service: nothing more starts there."""
-    return _move(zone, "out", wait, timeout, change_id, options)
+    """Take an availability zone out of service: nothing new starts there."""
+    return _change_zone(zone, "out", wait, timeout, change_id, options)
 
 
 @zone_app.command(name="in")
@@ -138,17 +140,17 @@
     zone: str,
     *,
     wait: Wait = False,
-    timeout: Timeout = ZONE_SECONDS,
+    timeout: Timeout = ZONE_TIMEOUT_SECONDS,
     change_id: ChangeId = "",
     options: Options = DEFAULTS,
 ) -> int:
     """Bring an availability zone back into service."""
-    return _move(zone, "in", wait, timeout, change_id, options)
+    return _change_zone(zone, "in", wait, timeout, change_id, options)
 
 
 @zone_app.command(name="show")
 def zone_show(zone: str, *, fields: Fields = "", options: Options = DEFAULTS) -> int:
-    """Print whether a zone is out, and what still runs there."""
+    """Print whether a zone is out of service and what still runs there."""
     return run(options, False, lambda client: show_zone(client, options, zone, fields))
 
 
@@ -169,18 +171,18 @@
     urgent: Annotated[bool | None, Parameter(negative=())] = None,
     job_class: str | None = None,
     wait: Wait = False,
-    timeout: Timeout = JOB_SECONDS,
+    timeout: Timeout = JOB_TIMEOUT_SECONDS,
     fields: Fields = "",
     options: Options = DEFAULTS,
 ) -> int:
-    """Submit a batch job; the same id twice is one job.
+    """Submit a batch job; idempotent by the job's id.
 
     Parameters
     ----------
     file
-        Job file, JSON; options given besides go before its fields.
+        Job file, JSON; options override its fields.
     command
-        What each task runs.
+        Command of each task.
     cores
         Cores of each task.
     memory_mb
@@ -190,18 +192,18 @@
     tasks
         Number of tasks.
     deadline
-        Seconds since 1970 by which all tasks shall have ended.
+        Time by which all tasks must have ended, in seconds since 1970.
     deadline_seconds
-        The same, counted from the first acceptance.
+        The same, in seconds after the job is first accepted.
     run_seconds
-        How long a task is expected to run.
+        Expected run time of a task, in seconds.
     urgent
-        Start before work that is not urgent.
+        Start before tasks that are not urgent.
     job_class
-        Jobs of one class share what is learned of their sizes.
+        Jobs of one class share learned estimates of their sizes.
 
     """
-    given: dict[str, Any] = {
+    given_fields: dict[str, Any] = {
         "id": job,
         "command": command,
         "cores": cores,
@@ -217,13 +219,15 @@
 
     async def work(client: Client) -> Exit:
         body = read_job(file) if file is not None else {}
-        body |= {name: value for name, value in given.items() if value is not None}
+        body |= {
+            name: value for name, value in given_fields.items() if value is not None
+        }
         if not wait:
             return await submit(client, options, team, body, fields)
         accepted = await submit(client, options, team, body, "id,state")
         if accepted is not Exit.OK:
             return accepted
-        return await _wait(client, options, team, job, fields, timeout)
+        return await _wait_for_job(client, options, team, job, fields, timeout)
 
     return run(options, True, work)
 
@@ -234,7 +238,7 @@
     job: str,
     *,
     wait: Wait = False,
-    timeout: Timeout = JOB_SECONDS,
+    timeout: Timeout = JOB_TIMEOUT_SECONDS,
     fields: Fields = "",
     options: Options = DEFAULTS,
 ) -> int:
@@ -243,7 +247,7 @@
         return run(
             options,
             True,
-            lambda client: _wait(client, options, team, job, fields, timeout),
+            lambda client: _wait_for_job(client, options, team, job, fields, timeout),
         )
     return run(
         options, True, lambda client: show_job(client, options, team, job, fields)
@@ -268,7 +272,7 @@
 def nodes(
     *,
     wait: Annotated[bool, Parameter(negative=())] = False,
-    timeout: Timeout = REVISION_SECONDS,
+    timeout: Timeout = REVISION_TIMEOUT_SECONDS,
     columns: Fields = "",
     options: Options = DEFAULTS,
 ) -> int:
@@ -290,8 +294,8 @@
                 client, options, timeout=timeout, clock=boot_time
             )
         if code in (Exit.OK, Exit.TIMED_OUT):
-            shown = await show_nodes(client, options, columns)
-            return shown if code is Exit.OK else code
+            exit_code = await show_nodes(client, options, columns)
+            return exit_code if code is Exit.OK else code
         return code
 
     return run(options, False, work)
@@ -325,7 +329,7 @@
     )
 
 
-def _move(
+def _change_zone(
     zone: str,
     direction: str,
     wait: bool,
@@ -336,7 +340,7 @@
     return run(
         options,
         False,
-        lambda client: move_and_wait(
+        lambda client: change_zone_and_wait(
             client,
             options,
             zone,
@@ -349,7 +353,7 @@
     )
 
 
-async def _wait(
+async def _wait_for_job(
     client: Client, options: Options, team: str, job: str, fields: str, timeout: float
 ) -> Exit:
     return await wait_for_job(
--- a/wagtailcleat/operator/configuration.py
+++ b/wagtailcleat/operator/configuration.py
@@ -1,4 +1,4 @@
-"""`check`, `apply` and `config show`."""
+"""The commands `check`, `apply` and `config show`."""
 
 import json
 import secrets
@@ -9,21 +9,27 @@
 from wagtailcleat.operator.client import Client, Reply
 from wagtailcleat.operator.exits import Exit
 from wagtailcleat.operator.files import (
-    Checked,
-    read_either,
+    CheckedFile,
     read_inventory,
+    read_inventory_or_rules,
     read_rules,
 )
-from wagtailcleat.operator.options import Options, UsageError, failed
-from wagtailcleat.operator.show import INDENT, say, show, show_changes, tell
+from wagtailcleat.operator.options import Options, UsageError, report_failure
+from wagtailcleat.operator.show import (
+    INDENT,
+    print_result,
+    print_status,
+    show,
+    show_changes,
+)
 
-CONFIGURATION = "/admin/configuration"
+CONFIGURATION_PATH = "/admin/configuration"
 CHANGE_ID_BYTES = 9
 
 
 @dataclass(frozen=True)
-class Application:
-    """What `apply` was asked to do."""
+class ApplyRequest:
+    """The options given to `apply`."""
 
     inventory: Path | None
     rules: Path | None
@@ -33,39 +39,41 @@
 
 
 def check(files: list[Path], *, as_json: bool) -> Exit:
-    """Check inventories and rules without any entry; print every problem."""
-    problems = [problem for path in files for problem in read_either(path).problems]
+    """Check inventory and rules files offline; print every problem."""
+    problems = [
+        problem for path in files for problem in read_inventory_or_rules(path).problems
+    ]
     if as_json:
-        say(json.dumps({"problems": problems}, indent=INDENT))
+        print_result(json.dumps({"problems": problems}, indent=INDENT))
     else:
         for problem in problems:
-            say(problem)
-        say(f"{len(problems)} problems in {len(files)} files")
+            print_result(problem)
+        print_result(f"{len(problems)} problems in {len(files)} files")
     return Exit.REFUSED if problems else Exit.OK
 
 
-async def apply(client: Client, options: Options, asked: Application) -> Exit:
+async def apply(client: Client, options: Options, request: ApplyRequest) -> Exit:
     """Check the files, show the difference, and apply them unless it is a dry run."""
-    body = _body(asked)
+    body = _request_body(request)
     problems = body.pop("problems")
     if problems:
-        return _faulty(problems, options)
-    base = await _base(client, asked)
+        return _show_problems(problems, options)
+    base = await _base_revision(client, request)
     if not isinstance(base, int):
-        return failed(base, options)
+        return report_failure(base, options)
     body["base_revision"] = base
     changes: list[dict[str, Any]] = []
-    # A repeated change was perhaps accepted already; it would differ from nothing.
-    if not asked.change_id:
-        tried = await client.call("PUT", f"{CONFIGURATION}?dry_run=true", body)
-        if not isinstance(tried, Reply) or not tried.ok:
-            return failed(tried, options)
-        changes = tried.body["changes"]
+    # A repeated change may be accepted already; a dry run would show no difference.
+    if not request.change_id:
+        preview = await client.call("PUT", f"{CONFIGURATION_PATH}?dry_run=true", body)
+        if not isinstance(preview, Reply) or not preview.ok:
+            return report_failure(preview, options)
+        changes = preview.body["changes"]
         if not options.json:
             show_changes(changes)
-        if asked.dry_run:
-            return _tried(base, changes, options)
-    return await _apply(client, options, asked, body, changes)
+        if request.dry_run:
+            return _show_dry_run(base, changes, options)
+    return await _send_change(client, options, request, body, changes)
 
 
 async def show_configuration(
@@ -73,74 +81,82 @@
 ) -> Exit:
     """Print the accepted configuration, or the one in force at the entry."""
     query = "?in_force=true" if in_force else ""
-    outcome = await client.call("GET", CONFIGURATION + query)
+    outcome = await client.call("GET", CONFIGURATION_PATH + query)
     if not isinstance(outcome, Reply) or not outcome.ok:
-        return failed(outcome, options)
+        return report_failure(outcome, options)
     show(outcome.body, as_json=True, fields=fields)
     return Exit.OK
 
 
-def _body(asked: Application) -> dict[str, Any]:
-    if asked.inventory is None and asked.rules is None:
+def _request_body(request: ApplyRequest) -> dict[str, Any]:
+    if request.inventory is None and request.rules is None:
         raise UsageError(["nothing to apply: give --inventory FILE, --rules FILE"])
-    if asked.change_id and asked.base_revision is None:
+    if request.change_id and request.base_revision is None:
         raise UsageError(["--change-id repeats a change: give its --base-revision too"])
-    read: dict[str, Checked] = {}
-    if asked.inventory is not None:
-        read["inventory"] = read_inventory(asked.inventory)
-    if asked.rules is not None:
-        read["rules"] = read_rules(asked.rules)
-    body: dict[str, Any] = {name: checked.raw for name, checked in read.items()}
-    body["problems"] = [p for checked in read.values() for p in checked.problems]
+    checked_by_name: dict[str, CheckedFile] = {}
+    if request.inventory is not None:
+        checked_by_name["inventory"] = read_inventory(request.inventory)
+    if request.rules is not None:
+        checked_by_name["rules"] = read_rules(request.rules)
+    body: dict[str, Any] = {
+        name: checked.raw for name, checked in checked_by_name.items()
+    }
+    body["problems"] = [
+        p for checked in checked_by_name.values() for p in checked.problems
+    ]
     return body
 
 
-async def _base(client: Client, asked: Application) -> int | Any:
-    if asked.base_revision is not None:
-        return asked.base_revision
-    outcome = await client.call("GET", CONFIGURATION)
+async def _base_revision(client: Client, request: ApplyRequest) -> int | Any:
+    if request.base_revision is not None:
+        return request.base_revision
+    outcome = await client.call("GET", CONFIGURATION_PATH)
     if isinstance(outcome, Reply) and outcome.ok:
         return int(outcome.body["revision"])
     return outcome
 
 
-async def _apply(
+async def _send_change(
     client: Client,
     options: Options,
-    asked: Application,
+    request: ApplyRequest,
     body: dict[str, Any],
     changes: list[dict[str, Any]],
 ) -> Exit:
-    change_id = asked.change_id or secrets.token_urlsafe(CHANGE_ID_BYTES)
+    change_id = request.change_id or secrets.token_urlsafe(CHANGE_ID_BYTES)
     base = body["base_revision"]
-    outcome = await client.call("PUT", CONFIGURATION, body | {"change_id": change_id})
+    outcome = await client.call(
+        "PUT", CONFIGURATION_PATH, body | {"change_id": change_id}
+    )
     if not isinstance(outcome, Reply) or not outcome.ok:
-        again = f"with --base-revision {base} --change-id {change_id}"
-        return failed(outcome, options, repeat=again)
+        repeat_options = f"with --base-revision {base} --change-id {change_id}"
+        return report_failure(outcome, options, repeat=repeat_options)
     revision = outcome.body["revision"]
     if options.json:
         answer = {"revision": revision, "change_id": change_id, "changes": changes}
         show(answer, as_json=True)
     elif revision == base:
-        say(f"revision {revision} stands; nothing differs")
+        print_result(f"revision {revision} stands; nothing differs")
     else:
-        say(f"accepted as revision {revision}")
+        print_result(f"accepted as revision {revision}")
     return Exit.OK
 
 
-def _tried(base: int, changes: list[dict[str, Any]], options: Options) -> Exit:
+def _show_dry_run(base: int, changes: list[dict[str, Any]], options: Options) -> Exit:
     if options.json:
         show({"revision": base, "changes": changes}, as_json=True)
     else:
-        say(f"{len(changes)} parts would change on revision {base}; nothing applied")
+        print_result(
+            f"{len(changes)} parts would change on revision {base}; nothing applied"
+        )
     return Exit.OK
 
 
-def _faulty(problems: list[str], options: Options) -> Exit:
+def _show_problems(problems: list[str], options: Options) -> Exit:
     if options.json:
         show({"code": "invalid", "problems": problems}, as_json=True)
         return Exit.REFUSED
     for problem in problems:
-        tell(problem)
-    tell(f"{len(problems)} problems; nothing applied")
+        print_status(problem)
+    print_status(f"{len(problems)} problems; nothing applied")
     return Exit.REFUSED
--- a/wagtailcleat/operator/exits.py
+++ b/wagtailcleat/operator/exits.py
@@ -1,4 +1,4 @@
-"""Exit codes of the command line, and what an operator can do about each refusal."""
+"""Exit codes of the command line, and advice to operators on each refusal code."""
 
 from enum import IntEnum
 
@@ -6,7 +6,7 @@
 
 
 class Exit(IntEnum):
-    """What a command's end says; documented in docs/ADMIN.md."""
+    """Exit codes of every command; documented in docs/ADMIN.md."""
 
     OK = 0
     REFUSED = 1
@@ -24,9 +24,11 @@
     Code.OUTCOME_UNKNOWN.value: Exit.OUTCOME_UNKNOWN,
 }
 ADVICE_BY_CODE = {
-    Code.UNAVAILABLE.value: "nothing was done; what runs goes on; try again later",
+    Code.UNAVAILABLE.value: "nothing was done; running work continues; try again later",
     Code.NOT_RUN.value: "nothing was done; try again later",
-    Code.UNAUTHORIZED.value: "set `token` in the settings file to the entries' own",
+    Code.UNAUTHORIZED.value: (
+        "set `token` in the settings file to the entries' `admin_token`"
+    ),
     Code.INFEASIBLE.value: "ask for less, or add a VM that holds it to the inventory",
     Code.QUOTA.value: "ask for less, or raise the team's quota in the rules",
     Code.TOO_LARGE.value: "send less",
@@ -34,10 +36,10 @@
 
 
 def exit_for(code: str) -> Exit:
-    """Return the exit code for a refusal's code."""
+    """Return the exit code for a refusal code."""
     return EXIT_BY_CODE.get(code, Exit.REFUSED)
 
 
 def advice_for(code: str) -> str:
-    """Return what to do about a refusal; empty where its own words say it."""
+    """Return what to do about a refusal; empty where its message says so."""
     return ADVICE_BY_CODE.get(code, "")
--- a/wagtailcleat/operator/files.py
+++ b/wagtailcleat/operator/files.py
@@ -1,4 +1,4 @@
-"""Inventory and rules files: read and checked here, before an entry is asked."""
+"""Reads and checks inventory and rules files, before any call to an entry."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -14,43 +14,48 @@
 
 
 @dataclass(frozen=True)
-class Checked:
-    """A file's content and its problems, each with the file's name."""
+class CheckedFile:
+    """A file's content and its problems, each prefixed with the file's path.
+
+    `raw` is None where the file can't be read or is no JSON.
+    """
 
     raw: Any
     problems: list[str]
 
 
-def read_inventory(path: Path) -> Checked:
+def read_inventory(path: Path) -> CheckedFile:
     """Read and check an inventory."""
-    return _checked(path, lambda raw: check_inventory(raw)[1])
+    return _check_file(path, lambda raw: check_inventory(raw)[1])
 
 
-def read_rules(path: Path) -> Checked:
+def read_rules(path: Path) -> CheckedFile:
     """Read and check rules."""
-    return _checked(path, lambda raw: check_rules(raw)[1])
+    return _check_file(path, lambda raw: check_rules(raw)[1])
 
 
-def read_either(path: Path) -> Checked:
-    """Read and check a file that is an inventory or rules, by the keys it has."""
-    return _checked(path, _either_problems)
+def read_inventory_or_rules(path: Path) -> CheckedFile:
+    """Read and check a file that is an inventory or rules; its keys decide which."""
+    return _check_file(path, _inventory_or_rules_problems)
 
 
-def _either_problems(raw: Any) -> list[str]:
+def _inventory_or_rules_problems(raw: Any) -> list[str]:
     if not isinstance(raw, dict):
         return ["$: neither an inventory nor rules: it is no object"]
-    if len(_keys(Rules) & raw.keys()) > len(_keys(Inventory) & raw.keys()):
+    if len(_field_names(Rules) & raw.keys()) > len(
+        _field_names(Inventory) & raw.keys()
+    ):
         return check_rules(raw)[1]
     return check_inventory(raw)[1]
 
 
-def _keys(kind: type[msgspec.Struct]) -> set[str]:
+def _field_names(kind: type[msgspec.Struct]) -> set[str]:
     return {field.encode_name for field in msgspec.structs.fields(kind)}
 
 
-def _checked(path: Path, problems_of: Any) -> Checked:
+def _check_file(path: Path, find_problems: Any) -> CheckedFile:
     try:
         raw = read_json(read_file(path))
     except SettingsError as error:
-        return Checked(None, [f"{path}: {problem}" for problem in error.problems])
-    return Checked(raw, [f"{path}: {problem}" for problem in problems_of(raw)])
+        return CheckedFile(None, [f"{path}: {problem}" for problem in error.problems])
+    return CheckedFile(raw, [f"{path}: {problem}" for problem in find_problems(raw)])
--- a/wagtailcleat/operator/jobs.py
+++ b/wagtailcleat/operator/jobs.py
@@ -1,4 +1,4 @@
-"""`job submit`, `job show`, `job list`, `job cancel`."""
+"""The commands `job submit`, `job show`, `job list` and `job cancel`."""
 
 import asyncio
 from pathlib import Path
@@ -7,11 +7,11 @@
 from wagtailcleat.checked import read_json
 from wagtailcleat.clock import Clock
 from wagtailcleat.errors import SettingsError
-from wagtailcleat.operator.client import Client, NotReached, Reply
+from wagtailcleat.operator.client import Client, Reply, Unreached
 from wagtailcleat.operator.exits import Exit
-from wagtailcleat.operator.options import Options, UsageError, failed
+from wagtailcleat.operator.options import Options, UsageError, report_failure
 from wagtailcleat.operator.settings import read_file
-from wagtailcleat.operator.show import show, show_table, tell
+from wagtailcleat.operator.show import print_status, show, show_table
 
 POLL_SECONDS = 0.3
 COLUMNS = ("id", "state", "tasks", "succeeded", "failed", "evictions", "deadline")
@@ -23,7 +23,7 @@
     """Return a job file's object; the entry checks its fields.
 
     Raises:
-        UsageError: it is no JSON object.
+        UsageError: the file can't be read or is no JSON object.
 
     """
     try:
@@ -38,9 +38,9 @@
 async def submit(
     client: Client, options: Options, team: str, job: dict[str, Any], fields: str
 ) -> Exit:
-    """Submit a job; the answer comes once it is in the store."""
+    """Submit a job and print its account; the entry answers once it is stored."""
     outcome = await client.call("POST", f"/teams/{team}/jobs", job)
-    return _shown(outcome, options, fields)
+    return _show_outcome(outcome, options, fields)
 
 
 async def show_job(
@@ -48,7 +48,7 @@
 ) -> Exit:
     """Print a job's account."""
     outcome = await client.call("GET", f"/teams/{team}/jobs/{job}")
-    return _shown(outcome, options, fields)
+    return _show_outcome(outcome, options, fields)
 
 
 async def wait_for_job(
@@ -61,27 +61,27 @@
     timeout: float,
     clock: Clock,
 ) -> Exit:
-    """Show progress until the job has ended, then its account.
+    """Print progress until the job has ended, then its account.
 
     Parameters: `timeout` in seconds.
     """
-    give_up_at = clock() + timeout
-    last = ""
+    deadline = clock() + timeout
+    last_progress = ""
     while True:
         outcome = await client.call("GET", f"/teams/{team}/jobs/{job}")
         if isinstance(outcome, Reply) and outcome.status < 500:
             if not outcome.ok or outcome.body["state"] in ENDED_STATES:
-                return _ended(outcome, options, fields)
+                return _show_ended_job(outcome, options, fields)
             account = outcome.body
-            told = f"{account['state']}, {account['succeeded']} of {account['tasks']}"
-            progress = f"{told} tasks succeeded"
+            counts = f"{account['state']}, {account['succeeded']} of {account['tasks']}"
+            progress = f"{counts} tasks succeeded"
         else:
-            progress = "not answered; trying on"
-        if progress != last:
-            tell(f"{job}: {progress}")
-            last = progress
-        if clock() >= give_up_at:
-            tell(f"{job}: has not ended within {timeout:g} s; it goes on")
+            progress = "no answer; retrying"
+        if progress != last_progress:
+            print_status(f"{job}: {progress}")
+            last_progress = progress
+        if clock() >= deadline:
+            print_status(f"{job}: has not ended within {timeout:g} s; it continues")
             return Exit.TIMED_OUT
         await asyncio.sleep(POLL_SECONDS)
 
@@ -90,7 +90,7 @@
     """Print all jobs of a team, the earliest deadline first."""
     outcome = await client.call("GET", f"/teams/{team}/jobs")
     if not isinstance(outcome, Reply) or not outcome.ok:
-        return failed(outcome, options)
+        return report_failure(outcome, options)
     if options.json:
         show(outcome.body, as_json=True)
     else:
@@ -101,20 +101,20 @@
 async def cancel(
     client: Client, options: Options, team: str, job: str, fields: str
 ) -> Exit:
-    """Cancel a job; its running tasks are stopped."""
+    """Cancel a job, which stops its running tasks, and print its account."""
     outcome = await client.call("DELETE", f"/teams/{team}/jobs/{job}")
-    return _shown(outcome, options, fields)
+    return _show_outcome(outcome, options, fields)
 
 
-def _ended(outcome: Reply, options: Options, fields: str) -> Exit:
-    code = _shown(outcome, options, fields)
+def _show_ended_job(outcome: Reply, options: Options, fields: str) -> Exit:
+    code = _show_outcome(outcome, options, fields)
     if code is Exit.OK and outcome.body["state"] != FINISHED:
         return Exit.REFUSED
     return code
 
 
-def _shown(outcome: Reply | NotReached, options: Options, fields: str) -> Exit:
+def _show_outcome(outcome: Reply | Unreached, options: Options, fields: str) -> Exit:
     if not isinstance(outcome, Reply) or not outcome.ok:
-        return failed(outcome, options)
+        return report_failure(outcome, options)
     show(outcome.body, as_json=options.json, fields=fields)
     return Exit.OK
--- a/wagtailcleat/operator/lost_time.py
+++ b/wagtailcleat/operator/lost_time.py
@@ -1,45 +1,50 @@
-"""How late a job ended, and between which of its log lines it lost its time.
+"""Computes how late a job ended and between which of its log lines it lost time.
 
-A start tells its job's slack: the seconds until the objective less the work that is
-left. Work that goes as estimated leaves it as it is; whatever it falls by was lost.
+`explain` prints the result. Each line of a run's start gives the slack of its job: the
+seconds until the objective minus the estimated remaining work. Slack stays the same
+while work proceeds as estimated, so a decrease is time lost.
 """
 
 from collections.abc import Iterator, Mapping, Sequence
 from datetime import datetime, timedelta
 from typing import Any, NamedTuple
 
-MOST_SHOWN = 3
-LEAST_SECONDS = 0.3
-"""A smaller fall of the slack is passed over."""
+MAX_LOSSES_SHOWN = 3
+MIN_LOSS_SECONDS = 0.3
+"""A smaller decrease of the slack is not reported."""
 TIME_FORMAT = "%Y-%m-%d %H:%M:%S,%f"
 
 Line = Mapping[str, Any]
 
 
-class Point(NamedTuple):
-    """The slack at the time of one line."""
+class SlackSample(NamedTuple):
+    """The slack of a job in seconds, at the time of one log line."""
 
     line: Line
-    moment: datetime
+    time: datetime
     slack: float
 
 
-def tell_lost_time(lines: Sequence[Line]) -> Iterator[str]:
-    """Yield how late each occurrence of a job ended, and where it lost its time.
+def lost_time_lines(lines: Sequence[Line]) -> Iterator[str]:
+    """Yield how late each occurrence of a job ended and its largest losses of time.
 
-    Parameters: `lines` of one job in order of time.
+    Parameters: `lines` of one job, ordered by time.
     """
     occurrences = dict.fromkeys(
-        _occurrence(line) for line in lines if _is(line, "Starts") and "due" in line
+        _occurrence(line)
+        for line in lines
+        if _message_ends_with(line, "Starts") and "due" in line
     )
     for occurrence in occurrences:
-        of_it = [line for line in lines if _occurrence(line) in ("", occurrence)]
+        occurrence_lines = [
+            line for line in lines if _occurrence(line) in ("", occurrence)
+        ]
         try:
-            points = _points(of_it)
+            samples = _slack_samples(occurrence_lines)
         except ValueError:
-            # A time in another format: nothing can be said of it.
+            # A timestamp in another format can't be compared.
             continue
-        yield from _tell(occurrence, points)
+        yield from _lost_time_of_occurrence(occurrence, samples)
 
 
 def _occurrence(line: Line) -> str:
@@ -47,61 +52,68 @@
     return rest.split("/")[0]
 
 
-def _is(line: Line, ending: str) -> bool:
+def _message_ends_with(line: Line, ending: str) -> bool:
     return str(line["message"]).endswith(ending)
 
 
-def _points(lines: Sequence[Line]) -> list[Point]:
+def _slack_samples(lines: Sequence[Line]) -> list[SlackSample]:
     starts = [
-        Point(line, moment(line), float(line["slack"]))
+        SlackSample(line, line_time(line), float(line["slack"]))
         for line in lines
-        if _is(line, "Starts") and "due" in line
+        if _message_ends_with(line, "Starts") and "due" in line
     ]
     first, last = starts[0], starts[-1]
-    points = [*starts]
-    accepted = [line for line in lines if _is(line, "Accepted")]
+    samples = [*starts]
+    accepted = [line for line in lines if _message_ends_with(line, "Accepted")]
     if accepted and _occurrence(first.line) == "0":
-        waited = (first.moment - moment(accepted[0])).total_seconds()
-        points.insert(0, Point(accepted[0], moment(accepted[0]), first.slack + waited))
-    ends = [line for line in lines if _is(line, "Run ended")]
+        waited = (first.time - line_time(accepted[0])).total_seconds()
+        samples.insert(
+            0, SlackSample(accepted[0], line_time(accepted[0]), first.slack + waited)
+        )
+    ends = [line for line in lines if _message_ends_with(line, "Run ended")]
     if ends:
-        objective = last.moment + timedelta(seconds=float(last.line["due"]))
-        left = objective - moment(ends[-1])
-        points.append(Point(ends[-1], moment(ends[-1]), left.total_seconds()))
-    return points
+        objective = last.time + timedelta(seconds=float(last.line["due"]))
+        slack_at_end = objective - line_time(ends[-1])
+        samples.append(
+            SlackSample(ends[-1], line_time(ends[-1]), slack_at_end.total_seconds())
+        )
+    return samples
 
 
-def moment(line: Line) -> datetime:
-    """Return the time of a line.
+def line_time(line: Line) -> datetime:
+    """Return the timestamp of a log line.
 
     Raises:
-        ValueError: it is in another format.
+        ValueError: the timestamp is in another format.
 
     """
     return datetime.strptime(str(line["time"]), TIME_FORMAT)
 
 
-def _tell(occurrence: str, points: Sequence[Point]) -> Iterator[str]:
-    last = points[-1]
-    if _is(last.line, "Run ended"):
-        side = "after" if last.slack < 0 else "before"
+def _lost_time_of_occurrence(
+    occurrence: str, samples: Sequence[SlackSample]
+) -> Iterator[str]:
+    last = samples[-1]
+    if _message_ends_with(last.line, "Run ended"):
+        relation = "after" if last.slack < 0 else "before"
         yield (
             f"! occurrence {occurrence}: its last run ended"
-            f" {abs(last.slack):.1f} s {side} its objective"
+            f" {abs(last.slack):.1f} s {relation} its objective"
         )
-    falls = [
+    losses = [
         (before.slack - after.slack, before, after)
-        for before, after in zip(points, points[1:], strict=False)
+        for before, after in zip(samples, samples[1:], strict=False)
     ]
-    largest = sorted(falls, key=lambda fall: -fall[0])[:MOST_SHOWN]
+    largest = sorted(losses, key=lambda loss: -loss[0])[:MAX_LOSSES_SHOWN]
     for seconds, before, after in largest:
-        if seconds >= LEAST_SECONDS:
+        if seconds >= MIN_LOSS_SECONDS:
             yield (
                 f"! lost {seconds:.1f} s between {before.line['time']} and"
-                f" {after.line['time']}, {_short(before.line)} to {_short(after.line)}"
+                f" {after.line['time']}, {_event_label(before.line)}"
+                f" to {_event_label(after.line)}"
             )
 
 
-def _short(line: Line) -> str:
+def _event_label(line: Line) -> str:
     _, _, message = str(line["message"]).partition(": ")
     return f"{message} {line.get('run', '')}".strip()
--- a/wagtailcleat/operator/nodes.py
+++ b/wagtailcleat/operator/nodes.py
@@ -1,4 +1,4 @@
-"""`nodes`, `teams` and `state`: what the processes say of themselves."""
+"""The commands `nodes`, `teams` and `state`, which print the state of processes."""
 
 import asyncio
 from urllib.parse import quote, urlencode
@@ -6,8 +6,8 @@
 from wagtailcleat.clock import Clock
 from wagtailcleat.operator.client import Client, Reply
 from wagtailcleat.operator.exits import Exit
-from wagtailcleat.operator.options import Options, failed
-from wagtailcleat.operator.show import show, show_table, tell
+from wagtailcleat.operator.options import Options, report_failure
+from wagtailcleat.operator.show import print_status, show, show_table
 
 POLL_SECONDS = 0.3
 NODE_COLUMNS = ("node", "role", "zone", "vm", "state", "revision")
@@ -25,38 +25,42 @@
 async def wait_for_revision(
     client: Client, options: Options, *, timeout: float, clock: Clock
 ) -> Exit:
-    """Show progress until the accepted revision is in force at every process.
+    """Print progress until the accepted revision is in force at every process.
 
     Parameters: `timeout` in seconds.
     """
     accepted = await client.call("GET", "/admin/configuration")
     if not isinstance(accepted, Reply) or not accepted.ok:
-        return failed(accepted, options)
+        return report_failure(accepted, options)
     revision = accepted.body["revision"]
-    give_up_at = clock() + timeout
-    last = -1
+    deadline = clock() + timeout
+    last_reached = -1
     while True:
         outcome = await client.call("GET", "/admin/nodes")
         if not isinstance(outcome, Reply) or not outcome.ok:
-            return failed(outcome, options)
+            return report_failure(outcome, options)
         revisions = [node["revision"] or 0 for node in outcome.body["nodes"]]
-        reached = sum(1 for known in revisions if known >= revision)
+        reached = sum(1 for in_force in revisions if in_force >= revision)
         if reached == len(revisions):
             return Exit.OK
-        if reached != last:
-            tell(f"revision {revision}: at {reached} of {len(revisions)} processes")
-            last = reached
-        if clock() >= give_up_at:
-            tell(f"revision {revision}: not everywhere within {timeout:g} s")
+        if reached != last_reached:
+            print_status(
+                f"revision {revision}: at {reached} of {len(revisions)} processes"
+            )
+            last_reached = reached
+        if clock() >= deadline:
+            print_status(
+                f"revision {revision}: not in force everywhere within {timeout:g} s"
+            )
             return Exit.TIMED_OUT
         await asyncio.sleep(POLL_SECONDS)
 
 
 async def show_nodes(client: Client, options: Options, columns: str) -> Exit:
-    """Print every process known, with the revision in force at each."""
+    """Print every known process, with the revision in force at each."""
     outcome = await client.call("GET", "/admin/nodes")
     if not isinstance(outcome, Reply) or not outcome.ok:
-        return failed(outcome, options)
+        return report_failure(outcome, options)
     if options.json:
         show(outcome.body, as_json=True)
     else:
@@ -69,7 +73,7 @@
     """Print each team's quota and its tasks."""
     outcome = await client.call("GET", "/admin/teams")
     if not isinstance(outcome, Reply) or not outcome.ok:
-        return failed(outcome, options)
+        return report_failure(outcome, options)
     if options.json:
         show(outcome.body, as_json=True)
     else:
@@ -85,6 +89,6 @@
     path = f"/admin/state/{quote(process, safe='')}"
     outcome = await client.call("GET", f"{path}?{query}" if query else path)
     if not isinstance(outcome, Reply) or not outcome.ok:
-        return failed(outcome, options)
+        return report_failure(outcome, options)
     show(outcome.body, as_json=True)
     return Exit.OK
--- a/wagtailcleat/operator/options.py
+++ b/wagtailcleat/operator/options.py
@@ -1,4 +1,4 @@
-"""Options that every command shares, and the client made of them."""
+"""The options that all commands share, and the client made from them."""
 
 import asyncio
 import re
@@ -10,10 +10,10 @@
 from cyclopts import Parameter
 
 from wagtailcleat.errors import SettingsError
-from wagtailcleat.operator.client import Client, NotReached, Reply
+from wagtailcleat.operator.client import Client, Reply, Unreached
 from wagtailcleat.operator.exits import Exit
 from wagtailcleat.operator.settings import OperatorSettings, load
-from wagtailcleat.operator.show import not_reached, refused, tell
+from wagtailcleat.operator.show import print_status, report_refusal, report_unreached
 from wagtailcleat.settings import URL_PATTERN
 
 SETTINGS_VARIABLE = "WAGTAILCLEAT_SETTINGS"
@@ -29,9 +29,9 @@
     settings
         Settings file, JSON: `admin` and `entry` addresses, `token`.
     admin
-        Operators' address of an entry, instead of those of the settings file.
+        Operators' address of an entry; overrides those of the settings file.
     entry
-        Callers' address of an entry, instead of those of the settings file.
+        Callers' address of an entry; overrides those of the settings file.
     json
         Print JSON.
 
@@ -44,56 +44,64 @@
 
 
 class UsageError(Exception):
-    """A command that can't begin; carries the lines to print."""
+    """A command that can't be run as given; carries the lines to print."""
 
     def __init__(self, lines: list[str]) -> None:
-        """Keep the lines."""
+        """Store the lines."""
         super().__init__("; ".join(lines))
         self.lines = lines
 
 
 def run(
-    options: Options, callers: bool, work: Callable[[Client], Awaitable[Exit]]
+    options: Options, for_callers: bool, work: Callable[[Client], Awaitable[Exit]]
 ) -> Exit:
-    """Run `work` with a client of the callers' or the operators' port."""
+    """Run `work` with a client of the callers' or the operators' port.
 
-    async def with_client() -> Exit:
-        client = _client(options, callers)
+    Return its exit code, or `Exit.USAGE` after printing a usage error.
+    """
+
+    async def work_with_client() -> Exit:
+        client = _make_client(options, for_callers)
         try:
             return await work(client)
         finally:
             client.close()
 
     try:
-        return asyncio.run(with_client())
+        return asyncio.run(work_with_client())
     except UsageError as error:
         for line in error.lines:
-            tell(line)
+            print_status(line)
         return Exit.USAGE
 
 
-def failed(outcome: Reply | NotReached, options: Options, *, repeat: str = "") -> Exit:
-    """Print why a call was not done; return the exit code."""
-    if isinstance(outcome, NotReached):
-        return not_reached(outcome, as_json=options.json, repeat=repeat)
-    return refused(outcome, as_json=options.json)
+def report_failure(
+    outcome: Reply | Unreached, options: Options, *, repeat: str = ""
+) -> Exit:
+    """Print why a call was not carried out; return the exit code.
+
+    Parameters: `repeat` says how to repeat the same change.
+    """
+    if isinstance(outcome, Unreached):
+        return report_unreached(outcome, as_json=options.json, repeat=repeat)
+    return report_refusal(outcome, as_json=options.json)
 
 
-def done(outcome: Reply | NotReached) -> bool:
-    """Tell whether a call was carried out."""
+def done(outcome: Reply | Unreached) -> bool:
+    """Return whether a call was carried out."""
     return isinstance(outcome, Reply) and outcome.ok
 
 
-def _client(options: Options, callers: bool) -> Client:
-    settings = _settings(options)
-    if callers:
+def _make_client(options: Options, for_callers: bool) -> Client:
+    settings = _load_settings(options)
+    if for_callers:
         urls = options.entry or settings.entry
-        return Client(_named(urls, "--entry", "entry"))
+        return Client(_checked_urls(urls, "--entry", "entry"))
     urls = options.admin or settings.admin
-    return Client(_named(urls, "--admin", "admin"), settings.token)
+    return Client(_checked_urls(urls, "--admin", "admin"), settings.token)
 
 
-def _settings(options: Options) -> OperatorSettings:
+def _load_settings(options: Options) -> OperatorSettings:
     try:
         return load(options.settings)
     except SettingsError as error:
@@ -101,10 +109,12 @@
         raise UsageError(lines) from None
 
 
-def _named(urls: list[str], option: str, key: str) -> list[str]:
-    wrong = [url for url in urls if not re.match(URL_PATTERN, url.rstrip("/"))]
-    if wrong:
-        lines = [f"{option} {url}: an address is http://HOST:PORT" for url in wrong]
+def _checked_urls(urls: list[str], option: str, key: str) -> list[str]:
+    invalid_urls = [url for url in urls if not re.match(URL_PATTERN, url.rstrip("/"))]
+    if invalid_urls:
+        lines = [
+            f"{option} {url}: an address is http://HOST:PORT" for url in invalid_urls
+        ]
         raise UsageError(lines)
     if not urls:
         raise UsageError(
--- a/wagtailcleat/operator/settings.py
+++ b/wagtailcleat/operator/settings.py
@@ -1,4 +1,4 @@
-"""Where the entries are, and the operators' token: one JSON file."""
+"""Settings of the command line: addresses of entries and the operators' token."""
 
 from pathlib import Path
 from typing import Annotated
@@ -13,17 +13,17 @@
 
 
 class OperatorSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Settings of `wagtailcleat`; the more entries, the better it bears one's end."""
+    """Settings of `wagtailcleat`; with several entries it survives the loss of one."""
 
     admin: list[Url] = []
     """Operators' addresses of entries, for example `http://10.0.0.1:7003`."""
     entry: list[Url] = []
-    """Callers' addresses of entries, or the balancer's."""
+    """Callers' addresses of entries, or the load balancer's."""
     token: Token = ""
 
 
 def load(path: Path | None) -> OperatorSettings:
-    """Read and check a settings file; none at all is empty settings.
+    """Read and check a settings file; without a file, return empty settings.
 
     Raises:
         SettingsError: with every problem found, each with its path.
@@ -38,7 +38,7 @@
     """Return a file's content.
 
     Raises:
-        SettingsError: it can't be read.
+        SettingsError: the file can't be read.
 
     """
     try:
--- a/wagtailcleat/operator/show.py
+++ b/wagtailcleat/operator/show.py
@@ -1,36 +1,36 @@
-"""What the command line prints: JSON, or lines for a person."""
+"""Output of the command line: JSON or readable lines."""
 
 import json
 import sys
 from collections.abc import Sequence
 from typing import Any
 
-from wagtailcleat.operator.client import NotReached, Reply
+from wagtailcleat.operator.client import Reply, Unreached
 from wagtailcleat.operator.exits import Exit, advice_for, exit_for
 
 INDENT = 2
 
 
-def say(text: str) -> None:
-    """Print a line of the result."""
+def print_result(text: str) -> None:
+    """Print a line of the result to standard output."""
     print(text, flush=True)
 
 
-def tell(text: str) -> None:
-    """Print a line on progress or on what went wrong, to standard error."""
+def print_status(text: str) -> None:
+    """Print a line of progress or of an error to standard error."""
     print(text, file=sys.stderr, flush=True)
 
 
 def show(body: Any, *, as_json: bool, fields: str = "") -> None:
     """Print an object as JSON or as `name: value` lines; only `fields`, if given."""
-    wanted = [name for name in fields.split(",") if name]
-    if wanted and isinstance(body, dict):
-        body = {name: body.get(name) for name in wanted}
+    selected = [name for name in fields.split(",") if name]
+    if selected and isinstance(body, dict):
+        body = {name: body.get(name) for name in selected}
     if as_json or not isinstance(body, dict):
-        say(json.dumps(body, indent=INDENT))
+        print_result(json.dumps(body, indent=INDENT))
         return
     for name, value in body.items():
-        say(f"{name}: {_text(value)}")
+        print_result(f"{name}: {_text(value)}")
 
 
 def show_table(rows: list[dict[str, Any]], columns: Sequence[str]) -> None:
@@ -40,53 +40,62 @@
     widths = [max(len(line[i]) for line in lines) for i in range(len(columns))]
     for line in lines:
         cells = (c.ljust(width) for c, width in zip(line, widths, strict=True))
-        say("  ".join(cells).rstrip())
+        print_result("  ".join(cells).rstrip())
 
 
 def show_changes(changes: list[dict[str, Any]]) -> None:
-    """Print a difference, a line for each part or field that differs."""
+    """Print a difference, one line for each part or field that differs."""
     for change in changes:
         for line in _change_lines(change):
-            say(line)
+            print_result(line)
 
 
-def refused(reply: Reply, *, as_json: bool) -> Exit:
+def report_refusal(reply: Reply, *, as_json: bool) -> Exit:
     """Print a refusal and what to do about it; return the exit code."""
     body: dict[str, Any] = {"message": str(reply.body)}
     if isinstance(reply.body, dict):
         body = reply.body
     if as_json:
-        say(json.dumps(body, indent=INDENT))
+        print_result(json.dumps(body, indent=INDENT))
         return exit_for(reply.code)
-    tell(f"refused ({reply.code or reply.status}): {body.get('message', '')}")
+    print_status(f"refused ({reply.code or reply.status}): {body.get('message', '')}")
     for problem in body.get("problems", []):
-        tell(f"  {problem}")
+        print_status(f"  {problem}")
     show_changes(body.get("changes", []))
     if body.get("changes_known") is False:
-        tell("  the difference is not kept: the base is too old, or a change too large")
+        print_status(
+            "  the difference is not kept: the base is too old, or a change too large"
+        )
     advice = advice_for(reply.code)
     if "changes" in body:
         revision = body["revision"]
         advice = f"look at the difference, then apply with --base-revision {revision}"
     if advice:
-        tell(f"  {advice}")
+        print_status(f"  {advice}")
     return exit_for(reply.code)
 
 
-def not_reached(outcome: NotReached, *, as_json: bool, repeat: str = "") -> Exit:
-    """Print that no entry answered; `repeat` says how to repeat the same change."""
+def report_unreached(outcome: Unreached, *, as_json: bool, repeat: str = "") -> Exit:
+    """Print that no entry answered; return the exit code.
+
+    Parameters: `repeat` says how to repeat the same change.
+    """
     code = "outcome_unknown" if outcome.sent else "unavailable"
     if as_json:
-        say(json.dumps({"code": code, "why_by_url": outcome.why_by_url}, indent=INDENT))
+        print_result(
+            json.dumps({"code": code, "why_by_url": outcome.why_by_url}, indent=INDENT)
+        )
         return exit_for(code)
     for url, why in outcome.why_by_url.items():
-        tell(f"{url}: {why}")
+        print_status(f"{url}: {why}")
     if outcome.sent:
-        tell("no answer came; it may have been done")
-        tell(f"  repeat {repeat or 'the command'}; it is done once")
+        print_status("no answer came; it may have been done")
+        print_status(f"  repeat {repeat or 'the command'}; it is done once")
     else:
-        tell("no entry was reached; nothing was done")
-        tell("  check the addresses given by --admin, --entry or the settings file")
+        print_status("no entry was reached; nothing was done")
+        print_status(
+            "  check the addresses given by --admin, --entry or the settings file"
+        )
     return exit_for(code)
 
 
