--- a/wagtailcleat/checked.py
+++ b/wagtailcleat/checked.py
@@ -1,7 +1,8 @@
-"""JSON read strictly: every problem reported at once, each with its path.
+"""Strict JSON parsing and conversion that reports every problem with its path.
 
-`msgspec.convert` stops at the first problem. An operator with five mistakes in an
-inventory should see five lines, so structs are converted a field at a time.
+Readers of settings, inventories and rules call it. `msgspec.convert` stops at the
+first problem; an operator with five mistakes in an inventory should see five lines, so
+structs are converted field by field.
 """
 
 import json
@@ -21,12 +22,12 @@
     """Parse JSON, refusing duplicate keys, NaN and infinities.
 
     Raises:
-        SettingsError: the text is not JSON, or says one thing twice.
+        SettingsError: the text is not JSON, or an object has a duplicate key.
 
     """
     problems: list[str] = []
 
-    def unique(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+    def reject_duplicates(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
         keys = [key for key, _ in pairs]
         problems.extend(
             f"$: key '{key}' stands twice in one object"
@@ -34,12 +35,14 @@
         )
         return dict(pairs)
 
-    def no_constant(name: str) -> float:
+    def reject_constant(name: str) -> float:
         problems.append(f"$: {name} is not a number of JSON")
         return math.nan
 
     try:
-        value = json.loads(text, object_pairs_hook=unique, parse_constant=no_constant)
+        value = json.loads(
+            text, object_pairs_hook=reject_duplicates, parse_constant=reject_constant
+        )
     except (ValueError, RecursionError) as error:
         raise SettingsError([f"$: not JSON: {error}"]) from None
     if problems:
@@ -48,10 +51,10 @@
 
 
 def convert(raw: Any, kind: type[T], *, path: str = "$") -> T:
-    """Return `raw` as a `kind`, a msgspec struct.
+    """Return parsed JSON as an instance of `kind`, a msgspec struct.
 
     Raises:
-        SettingsError: with every problem found, each `path: sentence`.
+        SettingsError: with every problem, each as `path: sentence`.
 
     """
     value, problems = convert_with_problems(raw, kind, path=path)
@@ -63,7 +66,7 @@
 def convert_with_problems(
     raw: Any, kind: type[T], *, path: str = "$"
 ) -> tuple[T, list[str]]:
-    """Return `raw` as a `kind`, and every problem found.
+    """Return parsed JSON as an instance of `kind`, and every problem.
 
     What could not be converted is None in the value, so that checks of the whole can
     continue with the rest and all problems are reported at once.
@@ -78,7 +81,7 @@
             return None
         kind = next(k for k in get_args(kind) if k is not NoneType)
     if isinstance(kind, type) and issubclass(kind, msgspec.Struct):
-        return _struct(raw, kind, path, problems)
+        return _convert_struct(raw, kind, path, problems)
     if get_origin(kind) in (list, tuple) and isinstance(raw, list):
         item_kind = get_args(kind)[0]
         items = [
@@ -87,30 +90,30 @@
         ]
         return tuple(items) if get_origin(kind) is tuple else items
     if get_origin(kind) is dict and isinstance(raw, dict):
-        return _mapping(raw, kind, path, problems)
+        return _convert_mapping(raw, kind, path, problems)
     try:
         return msgspec.convert(raw, kind)
     except msgspec.ValidationError as error:
-        described = _described(kind)
-        if described and isinstance(raw, str):
-            problems.append(f"{path}: {raw!r} is not {described}")
+        type_description = _type_description(kind)
+        if type_description and isinstance(raw, str):
+            problems.append(f"{path}: {raw!r} is not {type_description}")
         else:
-            problems.append(_located(path, str(error)))
+            problems.append(_problem_at(path, str(error)))
         return None
 
 
-def _struct(
+def _convert_struct(
     raw: Any, kind: type[msgspec.Struct], path: str, problems: list[str]
 ) -> Any:
     if not isinstance(raw, dict):
         problems.append(f"{path}: Expected `object`, got `{type(raw).__name__}`")
         return None
     fields = msgspec.structs.fields(kind)
-    known = {field.encode_name for field in fields}
+    known_keys = {field.encode_name for field in fields}
     problems.extend(
-        f"{path}.{key}: unknown key; {_hint(key, known)}"
+        f"{path}.{key}: unknown key; {_hint(key, known_keys)}"
         for key in raw
-        if key not in known
+        if key not in known_keys
     )
     values: dict[str, Any] = {}
     for field in fields:
@@ -127,14 +130,16 @@
     return kind(**values)
 
 
-def _hint(key: str, known: set[str]) -> str:
-    close = get_close_matches(key, sorted(known), n=1)
-    if close:
-        return f"did you mean '{close[0]}'?"
-    return f"known are {', '.join(sorted(known))}"
+def _hint(key: str, known_keys: set[str]) -> str:
+    close_matches = get_close_matches(key, sorted(known_keys), n=1)
+    if close_matches:
+        return f"did you mean '{close_matches[0]}'?"
+    return f"known are {', '.join(sorted(known_keys))}"
 
 
-def _mapping(raw: dict[str, Any], kind: Any, path: str, problems: list[str]) -> Any:
+def _convert_mapping(
+    raw: dict[str, Any], kind: Any, path: str, problems: list[str]
+) -> Any:
     key_kind, value_kind = get_args(kind)
     return {
         _convert(key, key_kind, f"{path} key '{key}'", problems): _convert(
@@ -144,12 +149,12 @@
     }
 
 
-def _described(kind: Any) -> str:
-    # A regular expression tells an operator little; the type may say it in words.
+def _type_description(kind: Any) -> str:
+    # A pattern is hard to read for an operator; a type may carry a description instead.
     metas = [arg for arg in get_args(kind)[1:] if isinstance(arg, msgspec.Meta)]
     return next((meta.description for meta in metas if meta.description), "")
 
 
-def _located(path: str, message: str) -> str:
+def _problem_at(path: str, message: str) -> str:
     sentence, _, inner = message.partition(" - at `$")
     return f"{path}{inner.rstrip('`')}: {sentence}"
--- a/wagtailcleat/clock.py
+++ b/wagtailcleat/clock.py
@@ -1,21 +1,21 @@
-"""The one clock: seconds that go on while the VM is paused."""
+"""The clocks of the project: one for durations and leases, one for deadlines."""
 
 import time
 from collections.abc import Callable
 
 Clock = Callable[[], float]
-"""Reads the present time in seconds; only differences have a meaning."""
+"""Returns the current time in seconds; leases and durations use differences only."""
 
 
 def boot_time() -> float:
-    """Seconds since boot, counting time in which the VM was suspended.
+    """Return seconds since boot, including time in which the VM was suspended.
 
-    A lease counted on a clock that stands still during a pause would seem valid
-    after the pause although everyone else saw it lapse.
+    A lease measured by a clock that stops during a pause would seem valid after the
+    pause, although every other process saw it expire.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def wall_time() -> float:
-    """Seconds since 1970, for deadlines that callers name; decides no lease."""
+    """Return seconds since 1970, for the deadlines of callers; not used for leases."""
     return time.time()
--- a/wagtailcleat/command_line.py
+++ b/wagtailcleat/command_line.py
@@ -1,4 +1,4 @@
-"""What the three programs' command lines share."""
+"""The exit codes and the entry point that the three command lines share."""
 
 import sys
 
@@ -10,7 +10,7 @@
 
 
 def run_program(app: App) -> None:
-    """Run a program's command and exit with its code; 2 where it is used wrongly."""
+    """Run a program's command and exit with its code, or with 2 on wrong usage."""
     try:
         code = app(exit_on_error=False, result_action="return_value")
     except CycloptsError:
--- a/wagtailcleat/curl.py
+++ b/wagtailcleat/curl.py
@@ -1,15 +1,15 @@
-"""How the curl client is kept from repeating a request by itself."""
+"""An option of the curl client that prevents automatic retries of requests."""
 
 import pycurl
 
 
 def never_repeat(handle: pycurl.Curl) -> None:
-    """Send a request on a connection of its own.
+    """Send the request on a new connection, so that libcurl does not repeat it.
 
-    When a kept connection closes before the first byte of an answer, libcurl sends
-    the request again on a new one, whatever its method, and tells nobody: a charge
-    then runs twice, and a compare-and-swap reports a conflict with itself. It only
-    does so on a connection that was used before.
+    When a reused connection closes before the first byte of the answer, libcurl
+    silently sends the request again on a new one, whatever its method. A charge then
+    runs twice, and a compare-and-swap conflicts with itself. libcurl does so only on
+    connections that were used before.
     """
     handle.setopt(pycurl.FRESH_CONNECT, 1)
     handle.setopt(pycurl.FORBID_REUSE, 1)
--- a/wagtailcleat/daemon.py
+++ b/wagtailcleat/daemon.py
@@ -1,4 +1,4 @@
-"""The life of a daemon: settings checked, its name its own, served, stopped."""
+"""Runs an entry or an agent: checks settings and node name, serves, then stops."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -11,32 +11,32 @@
 from wagtailcleat.process import (
     EXIT_OK,
     dump_on_signal,
+    print_ready,
     report_problems,
     run_to_end,
-    say_ready,
-    until_told_to_stop,
+    wait_for_stop,
 )
 from wagtailcleat.settings import S, load
 
 
 class Daemon(Protocol):
-    """What an entry and an agent have in common to the one who runs them."""
+    """The interface of an entry or agent as `run_daemon` uses it."""
 
     node: Node
 
     def start(self) -> dict[str, int]:
-        """Serve; return the ports."""
+        """Start serving; return the listening ports by name."""
 
     async def stop(self) -> None:
-        """Finish what is in flight, hand the rest on, then end."""
+        """Finish requests in flight, hand over the rest, then close everything."""
 
 
 def run_daemon(
-    path: Path, kind: type[S], make: Callable[[S], Daemon], *, check: bool
+    path: Path, kind: type[S], make_daemon: Callable[[S], Daemon], *, check: bool
 ) -> int:
-    """Run the daemon that `make` wires from the settings at `path`.
+    """Run the daemon that `make_daemon` builds from the settings at `path`.
 
-    Parameters: `check` only checks the settings. Returns the exit code.
+    Return the exit code. With `check`, only check the settings.
     """
     try:
         settings = load(path, kind)
@@ -46,15 +46,15 @@
         print(f"{path}: no problems")
         return EXIT_OK
     start_logging(NodeId(settings.node), level=settings.log_level)
-    return run_to_end(_serve(settings, make))
+    return run_to_end(_serve(settings, make_daemon))
 
 
-async def _serve(settings: S, make: Callable[[S], Daemon]) -> int:
-    daemon = make(settings)
+async def _serve(settings: S, make_daemon: Callable[[S], Daemon]) -> int:
+    daemon = make_daemon(settings)
     await daemon.node.refuse_taken_name()
     ports = daemon.start()
     dump_on_signal(daemon.node.introspection)
-    say_ready(ports)
-    code = await until_told_to_stop(daemon.node.supervisor.broken)
+    print_ready(ports)
+    code = await wait_for_stop(daemon.node.supervisor.broken)
     await daemon.stop()
     return code
--- a/wagtailcleat/headers.py
+++ b/wagtailcleat/headers.py
@@ -1,4 +1,4 @@
-"""Headers of callers' requests and answers."""
+"""HTTP headers of callers' requests and answers, and which of them are forwarded."""
 
 from collections.abc import Iterable
 
@@ -24,24 +24,24 @@
         "expect",
     }
 )
-REFRAMED = frozenset({"content-length", "host"})
+SET_PER_HOP = frozenset({"content-length", "host"})
 
 
 def forwarded(headers: Iterable[tuple[str, str]]) -> list[tuple[str, str]]:
-    """Return the headers to pass on: less hop-by-hop and connection's own ones."""
+    """Return the headers to forward, without those of one connection only."""
     pairs = list(headers)
-    named = {
+    connection_headers = {
         name.strip().lower()
         for key, value in pairs
         if key.lower() == "connection"
         for name in value.split(",")
     }
-    dropped = HOP_BY_HOP | REFRAMED | named
+    dropped = HOP_BY_HOP | SET_PER_HOP | connection_headers
     return [(key, value) for key, value in pairs if key.lower() not in dropped]
 
 
 def is_watch(method: str, headers: Iterable[tuple[str, str]]) -> bool:
-    """Tell whether a request asks for an event stream."""
+    """Return whether a request asks for an event stream."""
     return method == "GET" and any(
         key.lower() == "accept" and EVENT_STREAM in value.lower()
         for key, value in headers
--- a/wagtailcleat/ids.py
+++ b/wagtailcleat/ids.py
@@ -1,10 +1,10 @@
-"""Identifiers as distinct types, so that one can't stand in for another."""
+"""Identifiers as distinct types, so that mypy rejects one in place of another."""
 
 from typing import NewType
 
 NodeId = NewType("NodeId", str)
 Incarnation = NewType("Incarnation", int)
-"""Grows with each start of a node: milliseconds of the wall clock at start."""
+"""Wall-clock milliseconds at the start of a node; grows with each start."""
 ZoneName = NewType("ZoneName", str)
 VmName = NewType("VmName", str)
 ServiceName = NewType("ServiceName", str)
--- a/wagtailcleat/introspection.py
+++ b/wagtailcleat/introspection.py
@@ -1,8 +1,8 @@
-"""What a process shows of itself: the state dump and the metrics, both bounded.
+"""The state dump and the metrics of a process, both bounded in size.
 
-A dump shows the state in full up to a size. A metric is named once, in the code; ids
-of attempts and requests never become names or labels, or each would be a time series
-of its own that no monitoring could keep.
+A dump larger than `MAX_DUMP_BYTES` is truncated. Names of metrics are fixed in the
+code, and ids of attempts and requests are never used as names or labels: each would
+create a time series, more than a monitoring system can store.
 """
 
 import json
@@ -16,25 +16,25 @@
 
 MAX_DUMP_BYTES = 1024 * 1024
 MAX_ITEMS = 200
-FEW_ITEMS = 10
+REDUCED_MAX_ITEMS = 10
 NAMESPACE = "wagtailcleat"
 QUANTILES = (0.5, 0.9, 0.99, 0.999)
-MICROSECONDS = 1_000_000
+MICROSECONDS_PER_SECOND = 1_000_000
 
 Section = Callable[[], object]
 Values = Mapping[str, float]
-"""A metric's value by label; the label names are fixed and few."""
+"""A metric's value by label value, of which there are few."""
 
 
 class Kind(Enum):
-    """How a metric moves."""
+    """The type of a metric in Prometheus' terms."""
 
     GAUGE = "gauge"
     COUNTER = "counter"
 
 
 class Introspection:
-    """The state dump, section by section, and the metrics of one process."""
+    """The registry of state dump sections and metrics of one process."""
 
     def __init__(self) -> None:
         """Start without sections and metrics."""
@@ -46,13 +46,13 @@
         return f"<Introspection {', '.join(self._section_by_name)}>"
 
     def add(self, name: str, section: Section) -> None:
-        """Show what `section` returns under `name` in the state dump."""
+        """Add a section to the state dump: what `section` returns, under `name`."""
         self._section_by_name[name] = section
 
     def metric(
         self, kind: Kind, name: str, help_text: str, read: Callable[[], float]
     ) -> None:
-        """Show what `read` returns as the metric `wagtailcleat_NAME`."""
+        """Add the metric `wagtailcleat_NAME`, with the value that `read` returns."""
         self.labelled(kind, name, help_text, "", lambda: {"": read()})
 
     def labelled(
@@ -63,7 +63,7 @@
         label: str,
         read: Callable[[], Values],
     ) -> None:
-        """Show what `read` returns as one metric with a value for each `label`."""
+        """Add a metric with one label; `read` returns its value by label value."""
 
         def collect() -> Metric:
             metric = Metric(f"{NAMESPACE}_{name}", help_text, kind.value)
@@ -73,7 +73,7 @@
                 metric.add_sample(metric.name + suffix, labels, float(value))
             return metric
 
-        self._registry.register(_Reader(collect))
+        self._registry.register(_CallbackCollector(collect))
 
     def latencies(
         self,
@@ -82,7 +82,7 @@
         label: str,
         read: Callable[[], Mapping[str, HdrHistogram]],
     ) -> None:
-        """Show histograms of microseconds as quantiles in seconds."""
+        """Add a summary of latencies in seconds from histograms in microseconds."""
 
         def collect() -> Metric:
             metric = Metric(f"{NAMESPACE}_{name}", help_text, "summary")
@@ -91,34 +91,38 @@
                 _add_quantiles(metric, labels, histogram)
             return metric
 
-        self._registry.register(_Reader(collect))
+        self._registry.register(_CallbackCollector(collect))
 
     def metrics(self) -> bytes:
         """Return all metrics in Prometheus' text format."""
         return generate_latest(self._registry)
 
     def state(self, sections: Iterable[str] = ()) -> dict[str, object]:
-        """Return the whole state, or only the `sections` named."""
-        wanted = set(sections)
+        """Return all sections of the state, or only those in `sections`."""
+        selected = set(sections)
         return {
             name: section()
             for name, section in self._section_by_name.items()
-            if not wanted or name in wanted
+            if not selected or name in selected
         }
 
     def text(self, sections: Iterable[str] = ()) -> str:
-        """Return the state as JSON text of at most `MAX_DUMP_BYTES`."""
+        """Return the state as JSON text of at most `MAX_DUMP_BYTES`.
+
+        Where it is larger, limit all lists and objects to `MAX_ITEMS`, then to
+        `REDUCED_MAX_ITEMS`, and at last return only the sections that are numbers.
+        """
         state = self.state(sections)
-        for max_items in (MAX_ITEMS, FEW_ITEMS):
-            text = json.dumps(_shortened(state, max_items), default=str)
+        for max_items in (MAX_ITEMS, REDUCED_MAX_ITEMS):
+            text = json.dumps(_truncated(state, max_items), default=str)
             if len(text) <= MAX_DUMP_BYTES:
                 return text
-        flat = {n: v for n, v in state.items() if isinstance(v, int | float)}
-        return json.dumps(flat | {"cut": "the whole state is too large"})
+        scalars = {n: v for n, v in state.items() if isinstance(v, int | float)}
+        return json.dumps(scalars | {"cut": "the whole state is too large"})
 
 
-class _Reader(Collector):
-    """One metric, read whenever the metrics are."""
+class _CallbackCollector(Collector):
+    """A collector of one metric, read at each scrape."""
 
     def __init__(self, collect: Callable[[], Metric]) -> None:
         self._collect = collect
@@ -132,22 +136,26 @@
     metric: Metric, labels: dict[str, str], histogram: HdrHistogram
 ) -> None:
     for quantile in QUANTILES:
-        value = histogram.get_value_at_percentile(quantile * 100) / MICROSECONDS
+        value = (
+            histogram.get_value_at_percentile(quantile * 100) / MICROSECONDS_PER_SECOND
+        )
         metric.add_sample(metric.name, labels | {"quantile": str(quantile)}, value)
     count = histogram.get_total_count()
-    seconds = histogram.get_mean_value() * count / MICROSECONDS if count else 0.0
+    seconds = (
+        histogram.get_mean_value() * count / MICROSECONDS_PER_SECOND if count else 0.0
+    )
     metric.add_sample(f"{metric.name}_count", labels, count)
     metric.add_sample(f"{metric.name}_sum", labels, seconds)
 
 
-def _shortened(value: object, max_items: int) -> object:
+def _truncated(value: object, max_items: int) -> object:
     if isinstance(value, dict):
         kept = list(value.items())[:max_items]
-        short = {key: _shortened(inner, max_items) for key, inner in kept}
+        truncated = {key: _truncated(inner, max_items) for key, inner in kept}
         left_out = len(value) - len(kept)
-        return short | {"left_out": left_out} if left_out else short
+        return truncated | {"left_out": left_out} if left_out else truncated
     if isinstance(value, list | tuple):
-        items = [_shortened(inner, max_items) for inner in value[:max_items]]
+        items = [_truncated(inner, max_items) for inner in value[:max_items]]
         left_out = len(value) - len(items)
         return [*items, f"{left_out} left out"] if left_out else items
     return value
--- a/wagtailcleat/logs.py
+++ b/wagtailcleat/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one JSON object a line, short sentences, a prefix for each part."""
+"""Structured logs: one JSON object per line, each message prefixed with its part."""
 
 import logging
 import os
@@ -12,17 +12,17 @@
 
 
 class PartLogger(logging.LoggerAdapter[logging.Logger]):
-    """Puts the fixed prefix of a part before each sentence."""
+    """A logger that puts the fixed prefix of a part before each message."""
 
     def process(
         self, msg: Any, kwargs: MutableMapping[str, Any]
     ) -> tuple[Any, MutableMapping[str, Any]]:
-        """Prefix the sentence; keyword `extra` becomes fields of the line."""
+        """Prefix the message; the keyword `extra` becomes fields of the line."""
         return f"{self.extra['prefix']}: {msg}" if self.extra else msg, kwargs
 
 
 def part_logger(prefix: str) -> PartLogger:
-    """Return the logger of one part, for example `routing`."""
+    """Return the logger of one part of the program, for example `routing`."""
     return PartLogger(logging.getLogger(f"wagtailcleat.{prefix}"), {"prefix": prefix})
 
 
@@ -32,56 +32,59 @@
 
 
 def start_bounded_logging(node: NodeId, *, level: str = "INFO") -> None:
-    """Write JSON lines to standard output; lines that nobody reads are dropped."""
+    """Write JSON lines to standard output; drop lines while its reader stalls."""
     _start(_OUTPUT, node, level)
 
 
 def lines_dropped() -> int:
-    """Return how many lines were dropped because nobody read them in time."""
+    """Return the number of lines dropped because the reader of the output stalled."""
     return _OUTPUT.dropped
 
 
 class BoundedOutput(logging.Handler):
-    """Writes lines to a descriptor and never waits for its reader.
+    """A log handler that writes to a file descriptor without blocking.
 
-    A reader that stalls fills the pipe; a write would then stop the whole process, and
-    every request with it. What does not fit is dropped and counted, and the count is
-    written once there is room again.
+    A reader that stalls lets the pipe fill; a blocking write would then stop the whole
+    process with all its requests. Lines that do not fit are dropped and counted, and
+    the count is logged once there is room again.
     """
 
     def __init__(self, descriptor: int) -> None:
         """Write to `descriptor`."""
         super().__init__()
         self.dropped = 0
-        self._untold = 0
+        self._unreported = 0
         self._descriptor = descriptor
-        self._rest = b""
-        self._prepared = False
+        self._unwritten = b""
+        self._is_nonblocking = False
 
     def emit(self, record: logging.LogRecord) -> None:
         """Write one line, or count it as dropped."""
-        if not self._prepared:
+        if not self._is_nonblocking:
             os.set_blocking(self._descriptor, False)
-            self._prepared = True
-        if not self._write(self._rest):
+            self._is_nonblocking = True
+        if not self._write(self._unwritten):
             self.dropped += 1
-            self._untold += 1
+            self._unreported += 1
             return
-        if self._untold:
-            told = f'{{"message": "logs: Lines were dropped", "lines": {self._untold}}}'
-            self._untold = 0
-            self._write(told.encode() + b"\n")
-        self._write(self._rest + self.format(record).encode() + b"\n")
+        if self._unreported:
+            notice = (
+                '{"message": "logs: Lines were dropped",'
+                f' "lines": {self._unreported}}}'
+            )
+            self._unreported = 0
+            self._write(notice.encode() + b"\n")
+        self._write(self._unwritten + self.format(record).encode() + b"\n")
 
     def _write(self, data: bytes) -> bool:
-        """Write what fits and keep the rest; tell whether all of it was written."""
+        """Write what fits and store the rest; return whether all was written."""
         try:
             written = os.write(self._descriptor, data) if data else 0
         except OSError:
-            # A full pipe, or one whose reader is gone.
+            # The pipe is full or its reader has closed it.
             written = 0
-        self._rest = data[written:]
-        return not self._rest
+        self._unwritten = data[written:]
+        return not self._unwritten
 
 
 _OUTPUT = BoundedOutput(sys.__stdout__.fileno() if sys.__stdout__ else 1)
--- a/wagtailcleat/metrics.py
+++ b/wagtailcleat/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics that entry and agent share."""
+"""The metrics that entries and agents share."""
 
 from collections import Counter
 
@@ -8,7 +8,7 @@
 
 
 def add_node_metrics(introspection: Introspection, node: Node) -> None:
-    """Show revision, membership, streams, store calls and restarts of `node`."""
+    """Add metrics of revision, membership, streams, store and restarts of `node`."""
     metric, labelled = introspection.metric, introspection.labelled
     metric(
         Kind.GAUGE,
--- a/wagtailcleat/node.py
+++ b/wagtailcleat/node.py
@@ -1,4 +1,4 @@
-"""What every daemon is made of: view, gossip, streams, store, dump."""
+"""The components that entries and agents share: gossip, streams, store and dump."""
 
 import asyncio
 import random
@@ -28,12 +28,12 @@
 from wagtailcleat.wire.membership import Member, MemberState
 from wagtailcleat.wire.peers import Identity, Listener, Peers
 
-LEAVE_SECONDS = 2.0
+LEAVE_TIMEOUT_SECONDS = 2.0
 
 
 @dataclass
 class Node:
-    """The parts that entry and agent share, wired but not running."""
+    """The components that entries and agents share; `start` runs those of gossip."""
 
     clock: Clock
     supervisor: Supervisor
@@ -49,36 +49,36 @@
     store: Store
 
     async def refuse_taken_name(self) -> None:
-        """Return if no other living process has this node's name.
+        """Check that no other running process has this node's name.
 
         Raises:
-            IdentityError: one has it.
+            IdentityError: another process has it.
 
         """
         await refuse_taken_name(self.view, self.peers, self.seeds)
 
     def start(self) -> None:
-        """Start gossip under the supervisor."""
+        """Start gossip and the freshness check under the supervisor."""
         self.supervisor.spawn("gossip", self.gossiper.run)
         self.supervisor.spawn("freshness", self.freshness.run)
 
     def fresh(self) -> bool:
-        """Tell whether the view may be acted on, or stems from before a pause."""
+        """Return whether the view may be used, and is not from before a pause."""
         return self.freshness.fresh(self.clock())
 
     def rng(self, purpose: str) -> random.Random:
-        """Return a generator of its own for one purpose."""
+        """Return a random generator for one purpose, seeded by incarnation too."""
         return _rng(self.view.me, purpose)
 
     async def change_me(self, **changes: object) -> None:
-        """Change this node's own record and push it at once."""
+        """Change this node's own member record and announce it at once."""
         self.view.change_me(self.clock(), **changes)
         await self.gossiper.announce()
 
     async def leave(self) -> None:
-        """Say that this node is gone, then close every stream."""
+        """Announce that this node leaves, stop its tasks and close all streams."""
         try:
-            async with asyncio.timeout(LEAVE_SECONDS):
+            async with asyncio.timeout(LEAVE_TIMEOUT_SECONDS):
                 await self.change_me(state=MemberState.LEFT)
         except TimeoutError:
             pass
@@ -100,7 +100,7 @@
     clock: Clock = boot_time,
     wall_clock: Clock = wall_time,
 ) -> Node:
-    """Wire the parts that entry and agent share, and bind the peer port."""
+    """Build the components that entries and agents share, and bind the peer port."""
     node = NodeId(settings.node)
     identity = Identity(node, role, make_incarnation(wall_clock()), settings.secret)
     introspection = Introspection()
--- a/wagtailcleat/outcomes.py
+++ b/wagtailcleat/outcomes.py
@@ -1,4 +1,4 @@
-"""What became of a caller's request, as a value."""
+"""The possible outcomes of a caller's request, as values."""
 
 from dataclasses import dataclass
 
@@ -8,14 +8,14 @@
 
 @dataclass(frozen=True)
 class Answered:
-    """The endpoint answered, and the answer is whole."""
+    """The endpoint answered, and the answer is complete."""
 
     answer: Answer
 
 
 @dataclass(frozen=True)
 class NotRun:
-    """The request was surely not run, and never will be."""
+    """The request did not run and never will; `retry_after` is in seconds."""
 
     reason: str
     retry_after: float
@@ -23,14 +23,14 @@
 
 @dataclass(frozen=True)
 class OutcomeUnknown:
-    """The request may have run, or may still."""
+    """The request may have run or may still run."""
 
     reason: str
 
 
 @dataclass(frozen=True)
 class Rejected:
-    """The request is not one that can be carried out, or not as it came."""
+    """The request is invalid or not permitted; `retry_after` is in seconds."""
 
     code: Code
     reason: str
--- a/wagtailcleat/process.py
+++ b/wagtailcleat/process.py
@@ -1,4 +1,4 @@
-"""What both daemons share: identity, dispatch, state dump, start and stop."""
+"""Functions that all daemons share: incarnation, dispatch, ports, start and stop."""
 
 import asyncio
 import json
@@ -42,36 +42,36 @@
 
 
 def make_incarnation(wall_now: float) -> Incarnation:
-    """Return a number that grows with each start of a node."""
+    """Return the start time in milliseconds, which grows with each start of a node."""
     return Incarnation(int(wall_now * MILLISECONDS))
 
 
 def stream_timing(timing: Timing) -> StreamTiming:
-    """Return the part of the settings that streams use."""
+    """Return the timing settings that streams use."""
     return StreamTiming(timing.ping, timing.silence, timing.idle_close, timing.connect)
 
 
 class Dispatch:
-    """Hands each inbound call to the part that answers its kind of message."""
+    """Routes each inbound call to the handler of its message type."""
 
     def __init__(self, introspection: Introspection) -> None:
-        """Answer `DumpState` only, until parts are added."""
+        """Answer `DumpState` only, until handlers are added."""
         self._introspection = introspection
         self._handler_by_type: Handlers = {}
 
     def add(self, handlers: Handlers) -> None:
-        """Add a part's handlers."""
+        """Add handlers by message type."""
         self._handler_by_type.update(handlers)
 
     def add_plain(self, handlers: PlainHandlers) -> None:
-        """Add handlers that need only the message."""
+        """Add handlers that take only the message, by message type."""
         for kind, handler in handlers.items():
             self._handler_by_type[kind] = _plain(handler)
 
     async def __call__(
         self, stream: Stream, message: AnyMessage, outlet: Outlet
     ) -> AnyMessage:
-        """Answer one inbound call."""
+        """Return the answer to one inbound call; refuse a type without a handler."""
         if isinstance(message, DumpState):
             return Dump(self._introspection.text(message.sections))
         handler = self._handler_by_type.get(type(message))
@@ -111,19 +111,19 @@
         ) from None
 
 
-def say_ready(ports: dict[str, int]) -> None:
-    """Print one line once the process serves."""
+def print_ready(ports: dict[str, int]) -> None:
+    """Print the line `ready {ports}` to standard output, once the process serves."""
     print("ready", json.dumps(ports), flush=True)
 
 
-async def until_told_to_stop(broken: "asyncio.Future[InvariantError]") -> int:
-    """Wait for a signal to stop or a broken invariant; return the exit code."""
+async def wait_for_stop(broken: "asyncio.Future[InvariantError]") -> int:
+    """Wait for SIGTERM, SIGINT or a broken invariant; return the exit code."""
     loop = asyncio.get_running_loop()
-    told = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, told.set)
-    broken.add_done_callback(lambda _: told.set())
-    await told.wait()
+    stop_requested = asyncio.Event()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
+    broken.add_done_callback(lambda _: stop_requested.set())
+    await stop_requested.wait()
     if broken.done():
         return EXIT_INVARIANT
     return EXIT_OK
@@ -139,7 +139,7 @@
 
 
 def run_to_end(serving: Coroutine[Any, Any, int]) -> int:
-    """Run a program until it ends; return the exit code."""
+    """Run a program to its end; return its exit code, or print why it can't start."""
     try:
         return asyncio.run(serving)
     except ListenError as error:
--- a/wagtailcleat/resources.py
+++ b/wagtailcleat/resources.py
@@ -1,4 +1,4 @@
-"""An amount of processors, memory and accelerators."""
+"""Amounts of processors, memory and accelerators, and arithmetic on them."""
 
 from typing import Annotated
 
@@ -9,10 +9,11 @@
 Accelerators = Annotated[int, msgspec.Meta(ge=0, le=100_000)]
 
 ROUNDING_CORES = 1e-9
+"""Sums of fractional cores differ from the exact value by rounding errors."""
 
 
 class Resources(msgspec.Struct, frozen=True, array_like=True):
-    """Processors in cores, memory in megabytes, accelerators by count."""
+    """An amount of cores, megabytes of memory and accelerators."""
 
     cores: float = 0.0
     memory_mb: int = 0
@@ -35,13 +36,13 @@
         )
 
     def times(self, count: int) -> "Resources":
-        """Return this amount taken `count` times."""
+        """Return this amount multiplied by `count`."""
         return Resources(
             self.cores * count, self.memory_mb * count, self.accelerators * count
         )
 
     def smaller(self, other: "Resources") -> "Resources":
-        """Return the smaller amount in each dimension."""
+        """Return the minimum of both amounts in each dimension."""
         return Resources(
             min(self.cores, other.cores),
             min(self.memory_mb, other.memory_mb),
@@ -49,7 +50,7 @@
         )
 
     def larger(self, other: "Resources") -> "Resources":
-        """Return the larger amount in each dimension."""
+        """Return the maximum of both amounts in each dimension."""
         return Resources(
             max(self.cores, other.cores),
             max(self.memory_mb, other.memory_mb),
@@ -57,7 +58,7 @@
         )
 
     def fits(self, free: "Resources") -> bool:
-        """Tell whether this amount fits into `free` in every dimension."""
+        """Return whether this amount fits into `free` in every dimension."""
         return (
             self.cores <= free.cores + ROUNDING_CORES
             and self.memory_mb <= free.memory_mb
--- a/wagtailcleat/settings.py
+++ b/wagtailcleat/settings.py
@@ -1,4 +1,4 @@
-"""Settings: one JSON file a program, checked whole before anything opens."""
+"""Settings of entries and agents: one JSON file, checked before any port opens."""
 
 from collections import Counter
 from ipaddress import ip_address
@@ -31,10 +31,10 @@
 
 
 class Timing(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Seconds of every interval, lease and bound; the suite scales them down.
+    """Intervals, leases and timeouts in seconds; tests scale them down.
 
-    The same values must stand in the settings of every process of a deployment:
-    an owner counts on an agent's reservation lasting no longer than `reservation`.
+    All processes of a deployment must have the same values: an owner relies on an
+    agent's reservation lasting no longer than `reservation`.
     """
 
     ping: Positive = 0.25
@@ -77,7 +77,7 @@
     shards: Count = 16
     owns_shards: bool = True
     advertised_port: Port = 0
-    """The peer port that others connect to, where it is not `peer_port`."""
+    """The peer port that others connect to, where it differs from `peer_port`."""
     max_answer_bytes: Count = 16 * 1024 * 1024
     kept_answer_bytes: Count = 32 * 1024 * 1024
     log_level: LogLevel = "INFO"
@@ -102,12 +102,12 @@
     max_body_bytes: Count = 1024 * 1024
     max_connections: Count = 4096
     advertised_port: Port = 0
-    """The peer port that others connect to, where it is not `peer_port`."""
+    """The peer port that others connect to, where it differs from `peer_port`."""
     max_in_flight: Count = 2048
     idle_connection: Positive = 300.0
-    """Seconds until a connection without a whole request's headers is closed."""
+    """Seconds until a connection is closed that has not sent complete headers."""
     slow_body: Positive = 10.0
-    """Seconds in which a body must have come."""
+    """Seconds within which a request's body must have arrived."""
     log_level: LogLevel = "INFO"
 
 
@@ -118,7 +118,7 @@
     """Read and check a settings file.
 
     Raises:
-        SettingsError: with every problem found, each with its path.
+        SettingsError: with every problem, each with its path.
 
     """
     try:
@@ -127,14 +127,14 @@
         raise SettingsError([f"{path}: {error.strerror}"]) from None
     settings, found = convert_with_problems(read_json(text), kind)
     if settings is not None:
-        found += _whole_problems(settings)
+        found += _cross_field_problems(settings)
     if found:
         raise SettingsError(found)
     return settings
 
 
-def _whole_problems(settings: AgentSettings | EntrySettings) -> list[str]:
-    # A field that could not be read is None and was reported already.
+def _cross_field_problems(settings: AgentSettings | EntrySettings) -> list[str]:
+    # A field that could not be converted is None and was reported already.
     found: list[str] = []
     if settings.store == []:
         found.append("$.store: name at least one address of the store")
@@ -161,10 +161,10 @@
 
 
 def _port_problems(settings: AgentSettings | EntrySettings) -> list[str]:
-    ports = Counter(getattr(settings, name, None) for name in PORTS)
+    count_by_port = Counter(getattr(settings, name, None) for name in PORTS)
     return [
         f"$: port {port} stands {count} times among {', '.join(PORTS)}"
-        for port, count in ports.items()
+        for port, count in count_by_port.items()
         if port and count > 1
     ]
 
@@ -172,13 +172,13 @@
 def _timing_problems(timing: Timing | None) -> list[str]:
     if timing is None:
         return []
-    shorter_and_longer = (
+    ordered_pairs = (
         ("ping", "silence"),
         ("gossip", "suspicion"),
         ("grant", "outage_grant"),
     )
     found = []
-    for shorter, longer in shorter_and_longer:
+    for shorter, longer in ordered_pairs:
         low, high = getattr(timing, shorter), getattr(timing, longer)
         if low is not None and high is not None and low > high:
             found.append(
--- a/wagtailcleat/storage.py
+++ b/wagtailcleat/storage.py
@@ -1,7 +1,7 @@
-"""What a key-value store is asked and what it answers, whichever store it is.
+"""Requests to and outcomes of a key-value store, independent of its product.
 
 Outcomes are values. A write whose answer is lost is `Unknown`: it may have taken
-effect, now or later.
+effect or may still do so.
 """
 
 from dataclasses import dataclass, field
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True)
 class Found:
-    """A key's value; `mod_revision` is the store's revision of its last write."""
+    """A key and its value; `mod_revision` is the store revision of its last write."""
 
     key: str
     value: bytes
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class Listing:
-    """All keys under a prefix."""
+    """All keys with a prefix, as of `store_revision`."""
 
     found: list[Found]
     store_revision: int
@@ -26,14 +26,14 @@
 
 @dataclass(frozen=True)
 class Absent:
-    """There is no such key."""
+    """The key does not exist."""
 
     store_revision: int = 0
 
 
 @dataclass(frozen=True)
 class Written:
-    """The transaction took effect."""
+    """The transaction took effect, at `store_revision`."""
 
     store_revision: int
 
@@ -42,8 +42,8 @@
 class Conflict:
     """A compare did not hold; nothing was written.
 
-    `current` holds the keys of the compares as they stand, where the store tells;
-    a key that is not among them does not exist.
+    `current` has the current values of the compared keys, where the store returns
+    them; a compared key that is not among them does not exist.
     """
 
     current: tuple[Found, ...] = ()
@@ -51,21 +51,21 @@
 
 @dataclass(frozen=True)
 class Unknown:
-    """The transaction may have taken effect, or may yet."""
+    """The transaction may have taken effect or may still do so."""
 
     reason: str
 
 
 @dataclass(frozen=True)
 class Unavailable:
-    """The store did not take the call; nothing was written by it."""
+    """The store did not accept the call; nothing was written."""
 
     reason: str
 
 
 @dataclass(frozen=True)
 class Leased:
-    """A store lease and the seconds it still lasts."""
+    """A store lease and its remaining time in seconds."""
 
     id: str
     seconds: float
@@ -73,12 +73,12 @@
 
 @dataclass(frozen=True)
 class LeaseGone:
-    """The lease has lapsed."""
+    """The lease has expired."""
 
 
 @dataclass(frozen=True)
 class Compare:
-    """A condition on one key: its mod revision, its value, or that it is absent."""
+    """A condition on one key: its modification revision, its value or its absence."""
 
     key: str
     mod_revision: int | None = None
@@ -88,7 +88,10 @@
 
 @dataclass(frozen=True)
 class Txn:
-    """All compares hold: then all puts and deletes, at once."""
+    """A transaction: if all compares hold, apply all puts and deletes atomically.
+
+    `leased_puts` are bound to `lease` and deleted when it expires.
+    """
 
     compares: list[Compare]
     puts: dict[str, bytes] = field(default_factory=dict)
@@ -96,12 +99,12 @@
     lease: str = ""
     deletes: list[str] = field(default_factory=list)
     delete_ranges: list[tuple[str, str]] = field(default_factory=list)
-    """From the first key on, up to but without the second."""
+    """Ranges of keys, from the first (inclusive) to the second (exclusive)."""
 
 
 @dataclass(frozen=True)
 class Event:
-    """A change that a watch saw; `value` is None where the key was deleted."""
+    """A change reported by a watch; `value` is None where the key was deleted."""
 
     key: str
     value: bytes | None
@@ -110,7 +113,7 @@
 
 @dataclass(frozen=True)
 class Changes:
-    """What happened under a prefix, up to `store_revision`."""
+    """The changes of keys with a prefix, up to `store_revision`."""
 
     events: list[Event]
     store_revision: int
@@ -118,7 +121,7 @@
 
 @dataclass(frozen=True)
 class HistoryGone:
-    """The store no longer knows what happened: list again, then watch from there."""
+    """The store has compacted the requested history: list again, then watch on."""
 
 
 WriteOutcome = Written | Conflict | Unknown | Unavailable
--- a/wagtailcleat/supervise.py
+++ b/wagtailcleat/supervise.py
@@ -1,8 +1,8 @@
-"""A supervisor: restarts children that crash, ends with the process.
+"""A supervisor tree that restarts crashed tasks of a process.
 
-A child is one coroutine function, run as one asyncio task. A child that raises is
-logged and started again after a backoff; one that returns is done. A broken
-invariant is not restarted: it ends the whole tree, and so the process.
+A child is a coroutine function, run as one asyncio task. A child that raises is
+logged and restarted after an exponential backoff; one that returns is done. A broken
+invariant (`InvariantError`) is not restarted: it stops the process.
 """
 
 import asyncio
@@ -18,14 +18,17 @@
 
 FIRST_BACKOFF_SECONDS = 0.1
 MAX_BACKOFF_SECONDS = 5.0
-HEALTHY_AFTER_SECONDS = 30.0
+BACKOFF_RESET_SECONDS = 30.0
 
 
 class Supervisor:
-    """A node of the supervisor tree; `name` shows in logs and dumps."""
+    """A node of the supervisor tree; logs and dumps show its `name`.
+
+    The whole tree shares `broken`, the future of the first `InvariantError`.
+    """
 
     def __init__(self, name: str) -> None:
-        """Start empty; children are added by `spawn` and `supervisor`."""
+        """Start without children; `spawn`, `once` and `supervisor` add them."""
         self.name = name
         self.broken: asyncio.Future[InvariantError] = (
             asyncio.get_running_loop().create_future()
@@ -47,14 +50,18 @@
 
     def spawn(self, name: str, child: Child) -> asyncio.Task[None]:
         """Run `child` and keep it running until it returns or is cancelled."""
-        task = asyncio.create_task(self._keep(name, child), name=f"{self.name}/{name}")
+        task = asyncio.create_task(
+            self._run_with_restarts(name, child), name=f"{self.name}/{name}"
+        )
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
 
     def once(self, name: str, child: Child) -> asyncio.Task[bool]:
-        """Run `child` one time; a crash is logged, not repeated."""
-        task = asyncio.create_task(self._once(name, child), name=f"{self.name}/{name}")
+        """Run `child` once; log a crash without a restart. The result is false then."""
+        task = asyncio.create_task(
+            self._run_once(name, child), name=f"{self.name}/{name}"
+        )
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
@@ -69,12 +76,12 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def restarts(self) -> int:
-        """Return how often children below this node were restarted."""
+        """Return the number of restarts of all children in this subtree."""
         own = sum(self._restarts_by_child.values())
         return own + sum(child.restarts() for child in self._children)
 
     def dump(self) -> dict[str, object]:
-        """Return the tree's names and restart counts, for the state dump."""
+        """Return the subtree's names and restart counts, for the state dump."""
         return {
             "name": self.name,
             "running": len(self._tasks),
@@ -82,21 +89,21 @@
             "children": [child.dump() for child in self._children],
         }
 
-    async def _keep(self, name: str, child: Child) -> None:
+    async def _run_with_restarts(self, name: str, child: Child) -> None:
         loop = asyncio.get_running_loop()
         backoff = FIRST_BACKOFF_SECONDS
         while True:
             started = loop.time()
-            if await self._once(name, child):
+            if await self._run_once(name, child):
                 return
-            if loop.time() - started > HEALTHY_AFTER_SECONDS:
+            if loop.time() - started > BACKOFF_RESET_SECONDS:
                 backoff = FIRST_BACKOFF_SECONDS
             restarts = self._restarts_by_child.get(name, 0)
             self._restarts_by_child[name] = restarts + 1
             await asyncio.sleep(backoff)
             backoff = min(backoff * 2, MAX_BACKOFF_SECONDS)
 
-    async def _once(self, name: str, child: Child) -> bool:
+    async def _run_once(self, name: str, child: Child) -> bool:
         try:
             await child()
         except InvariantError as error:
