--- a/wagtailcleat/operator/app.py
+++ b/wagtailcleat/operator/app.py
@@ -49,12 +49,10 @@
 app.command(config_app)
 
 Fields = Annotated[str, Parameter(help="Only these fields, separated by commas.")]
-Wait = Annotated[
-    bool, Parameter(help="Show progress until it is complete.", negative=())
-]
-Timeout = Annotated[float, Parameter(help="Maximum seconds to wait.")]
+Wait = Annotated[bool, Parameter(help="Show progress until it is done.", negative=())]
+Timeout = Annotated[float, Parameter(help="Seconds to wait at the most.")]
 ChangeId = Annotated[
-    str, Parameter(help="Id of a change to repeat, after its answer was lost.")
+    str, Parameter(help="Repeats the change of this id, whose answer was lost.")
 ]
 
 
--- a/wagtailcleat/operator/configuration.py
+++ b/wagtailcleat/operator/configuration.py
@@ -23,7 +23,7 @@
     show_changes,
 )
 
-CONFIGURATION_PATH = "/admin/configuration"
+CONFIGURATION = "/admin/configuration"
 CHANGE_ID_BYTES = 9
 
 
@@ -65,7 +65,7 @@
     changes: list[dict[str, Any]] = []
     # A repeated change may be accepted already; a dry run would show no difference.
     if not request.change_id:
-        preview = await client.call("PUT", f"{CONFIGURATION_PATH}?dry_run=true", body)
+        preview = await client.call("PUT", f"{CONFIGURATION}?dry_run=true", body)
         if not isinstance(preview, Reply) or not preview.ok:
             return report_failure(preview, options)
         changes = preview.body["changes"]
@@ -81,7 +81,7 @@
 ) -> Exit:
     """Print the accepted configuration, or the one in force at the entry."""
     query = "?in_force=true" if in_force else ""
-    outcome = await client.call("GET", CONFIGURATION_PATH + query)
+    outcome = await client.call("GET", CONFIGURATION + query)
     if not isinstance(outcome, Reply) or not outcome.ok:
         return report_failure(outcome, options)
     show(outcome.body, as_json=True, fields=fields)
@@ -110,7 +110,7 @@
 async def _base_revision(client: Client, request: ApplyRequest) -> int | Any:
     if request.base_revision is not None:
         return request.base_revision
-    outcome = await client.call("GET", CONFIGURATION_PATH)
+    outcome = await client.call("GET", CONFIGURATION)
     if isinstance(outcome, Reply) and outcome.ok:
         return int(outcome.body["revision"])
     return outcome
@@ -125,9 +125,7 @@
 ) -> Exit:
     change_id = request.change_id or secrets.token_urlsafe(CHANGE_ID_BYTES)
     base = body["base_revision"]
-    outcome = await client.call(
-        "PUT", CONFIGURATION_PATH, body | {"change_id": change_id}
-    )
+    outcome = await client.call("PUT", CONFIGURATION, body | {"change_id": change_id})
     if not isinstance(outcome, Reply) or not outcome.ok:
         repeat_options = f"with --base-revision {base} --change-id {change_id}"
         return report_failure(outcome, options, repeat=repeat_options)
--- a/wagtailcleat/operator/explain.py
+++ b/wagtailcleat/operator/explain.py
@@ -129,11 +129,11 @@
 def _background_start(time: str) -> str:
     # Times are compared as text. Only the seconds are reduced; where they would become
     # negative, the background starts with the minute.
-    minutes, _, seconds_text = time.rpartition(":")
+    head, _, seconds_text = time.rpartition(":")
     seconds = float(seconds_text.replace(",", ".")) - BACKGROUND_LEAD_SECONDS
     if seconds < 0:
-        return minutes
-    return f"{minutes}:{seconds:06.3f}".replace(".", ",")
+        return head
+    return f"{head}:{seconds:06.3f}".replace(".", ",")
 
 
 def timeline_lines(timeline: JobTimeline) -> Iterator[str]:
@@ -142,11 +142,10 @@
     lines += [(line, "~") for line in timeline.background]
     lines.sort(key=lambda row: str(row[0]["time"]))
     for line, marker in lines:
-        other_fields = " ".join(
+        fields = " ".join(
             f"{k}={v}" for k, v in line.items() if k not in LEADING_FIELDS
         )
-        event = f"{line['time']} {line.get('node')} {line['message']}"
-        yield f"{marker} {event} {other_fields}"
+        yield f"{marker} {line['time']} {line.get('node')} {line['message']} {fields}"
     yield from lost_time_lines(timeline.job_lines)
     yield from gap_lines(timeline)
     if timeline.unreadable:
