--- a/features/operator/demo.feature
+++ b/features/operator/demo.feature
@@ -1,6 +1,9 @@
 Feature: The demonstration works
 
-  Scenario: It shows a request, a job and a zone's move, and stops all it started
+  Guards against a change of the programs that breaks the commands a newcomer runs
+  first, or a demonstration that leaves processes behind.
+
+  Scenario: It shows a request, a job and a zone out of service, and stops all processes
     When the demonstration is run
     Then it ends with 0 after showing these
       | shown                                                                    |
@@ -10,4 +13,4 @@
       | zilina-a is out of service from revision 2 on                            |
       | zilina-a is in service from revision 3 on                                |
       | Everything did what it should; all processes are stopped.                |
-    And no process of it is left
+    And none of its processes is left
--- a/features/operator/faults.feature
+++ b/features/operator/faults.feature
@@ -1,10 +1,10 @@
-Feature: Operators' changes hold when answers, entries, agents or the store fail
+Feature: Operators' changes survive failures of answers, entries, agents and the store
 
-  Scenario: A zone's move that is repeated after another's change is done once
-    The answer to a zone taken out is lost. Before the command repeats the call
-    through the other entry, a second operator brings the zone back. Cause of the
-    fault: the change id is compared with the newest change only, so the repeat
-    looks new and takes the zone out a second time.
+  Scenario: A zone change that is repeated after another change is applied once
+    Guards against a repeated call that takes a zone out a second time. The answer to
+    `zone out` is lost, and before the command repeats the call through the other
+    entry, a second operator brings the zone back. Cause: the change id is compared
+    with the newest change only, so the repeat looks like a new change.
 
     Given an operator's terminal on a deployment of two entries and one agent
     And the inventory is applied
@@ -15,9 +15,9 @@
     And revision 3 is accepted, with no zone out
 
   Scenario: The store loses the answer to an accepted change
-    The store writes the new configuration and its answer is lost on the way. The
-    operator must see it accepted once, neither refused nor accepted twice.
-    Cause: the write took effect before the connection broke.
+    Guards against a change that is refused, or accepted twice, after the store wrote
+    it once. The answer of the store is lost: the connection breaks after the write
+    has taken effect.
 
     Given an operator's terminal on a deployment of two entries and one agent
     And the store loses the next answer to a write of "configuration"
@@ -29,9 +29,10 @@
     And it says "zilina-a is out of service from revision 2 on"
     And the store has written the configuration 2 times
 
-  Scenario: An entry has died and another takes the change
-    An operator takes a zone out. The first entry named does not answer any more;
-    the command goes to the next one by itself. Cause: the entry's VM has failed.
+  Scenario: An entry has failed and another accepts the change
+    Guards against a command that depends on one entry. An operator takes a zone out
+    while the first entry of the settings does not answer, because its VM has failed;
+    the command continues with the next entry.
 
     Given an operator's terminal on a deployment of two entries and one agent
     And the inventory is applied
@@ -41,9 +42,9 @@
     And it says "zilina-a is out of service from revision 2 on"
 
   Scenario: The store is down
-    The operator applies an inventory during an outage of the store. The command
-    says that nothing was done, ends with its own code, and nothing is applied
-    later either. Cause: the platform's store refuses all calls.
+    Guards against a change that is reported as not done but applied later. The
+    operator applies rules while the platform's store refuses all calls. The
+    command says that nothing was done and has a separate exit code.
 
     Given an operator's terminal on a deployment of two entries and one agent
     And the inventory is applied
@@ -57,10 +58,10 @@
     When the store comes back
     Then revision 1 is accepted, with no zone out
 
-  Scenario: A zone is not said to be empty while an agent there is silent
-    A VM is paused with a task on it when its zone is taken out. The operator who
-    waits must not be told that the zone is empty. Cause: a paused agent answers
-    nothing, and what can't be counted is easily counted as none.
+  Scenario: A zone is not reported empty while an agent there does not answer
+    Guards against a zone reported empty while tasks may still run there. A VM is
+    paused when its zone is taken out. Cause: a paused agent sends no counts, and
+    missing counts are taken for zero.
 
     Given an operator's terminal on a deployment of two entries and one agent
     And the inventory is applied
--- a/features/operator/settings.feature
+++ b/features/operator/settings.feature
@@ -1,6 +1,9 @@
-Feature: Settings are checked whole before anything opens
+Feature: Settings are checked as a whole before any port opens
 
-  Scenario: Every wrong value of an entry's settings is told at once
+  Guards against a daemon that reports one wrong setting at each start, or that opens
+  ports before all its settings are checked.
+
+  Scenario: All wrong values of an entry's settings are reported at once
     Given a settings file
       """
       {
@@ -27,7 +30,7 @@
       | $: port 7000 stands 2 times among peer_port, http_port, admin_port    |
       | $.timing.ping: 2 is longer than silence, 0.75                         |
 
-  Scenario: Every wrong value of an agent's settings is told at once
+  Scenario: All wrong values of an agent's settings are reported at once
     Given a settings file
       """
       {
@@ -47,13 +50,15 @@
       | $.endpoints_by_service.a: '8080' is not an address like http://10.0.0.1:7001 |
       | $.host: others call this process there: give its own address                |
 
-  Scenario: A port that is taken is told in one line
+  Scenario: A port in use is reported in one line
+    # Guards against a traceback when another process uses the port.
     Given a settings file whose callers' port is taken
     When "wagtailcleat.entry.app" is started with it
     Then it ends with 71 and has opened nothing
     And it tells "another process may use the port"
 
-  Scenario: Good settings pass the check
+  Scenario: Valid settings pass the check
+    # Guards against a check that refuses valid settings or opens ports.
     Given a settings file
       """
       {
--- a/features/steps/configuration_fuzz_steps.py
+++ b/features/steps/configuration_fuzz_steps.py
@@ -1,4 +1,7 @@
-"""A state machine over gossiping nodes, with the store's history as the oracle."""
+"""Steps of features/fuzz/configuration.feature: a state machine of gossiping nodes.
+
+Every revision that a process adopted is compared with the history of the store.
+"""
 
 from behave import then, when
 from fuzz_runs import run_histories
@@ -17,7 +20,7 @@
 from wagtailcleat.configuration.parts import split_parts
 from wagtailcleat.configuration.writer import Accepted, decode, write
 
-QUIET_SECONDS = 10.0
+CONVERGENCE_SECONDS = 10.0
 MAX_NODES = 7
 STEP_SECONDS = 0.4
 
@@ -52,18 +55,21 @@
     return replace(current, zones_out=out)
 
 
-class Histories(RuleBasedStateMachine):
-    """Operators, nodes and faults; the oracle is what the store accepted."""
+class ConfigurationHistory(RuleBasedStateMachine):
+    """Operators, nodes and faults; the store's history is the oracle.
+
+    Hypothesis draws the rules in the order of their names.
+    """
 
-    checked = 0
+    checked_count = 0
 
     @initialize()
     def begin(self):
         """Start two entries and two agents."""
         self.deployment = Deployment()
-        self.started = 4
-        self.changes = 0
-        self.work_by_change = {}
+        self.started_count = 4
+        self.change_count = 0
+        self.task_by_change = {}
         self.deployment.start("entry-1", [])
         self.deployment.start("entry-2", ["entry-1"])
         self.deployment.start("agent-3", ["entry-1"])
@@ -71,11 +77,11 @@
         self.deployment.pass_time(1.0)
 
     def _change(self, entry, change):
-        self.changes += 1
+        self.change_count += 1
         store = self.deployment.store_by_name[entry]
-        change_id = f"change-{self.changes}"
-        work = write(store, None, change_id, change)
-        self.work_by_change[change_id] = self.deployment.loop.create_task(work)
+        change_id = f"change-{self.change_count}"
+        task = write(store, None, change_id, change)
+        self.task_by_change[change_id] = self.deployment.loop.create_task(task)
 
     @rule(number=st.integers(0, 5), entry=st.sampled_from(["entry-1", "entry-2"]))
     def add_vm(self, number, entry):
@@ -91,14 +97,14 @@
 
     @rule(number=st.integers(0, 5))
     def race(self, number):
-        """Change the configuration from two operators at once."""
+        """Change the configuration through two entries concurrently."""
         self._change("entry-1", _zone_out)
         self._change("entry-2", _with_vm(number))
         self.deployment.pass_time(STEP_SECONDS)
 
     @rule(entry=st.sampled_from(["entry-1", "entry-2"]))
-    def lose_an_answer(self, entry):
-        """Lose the store's next answer to an entry, after the write."""
+    def lose_store_answer(self, entry):
+        """Lose the store's next answer to an entry, after the write took effect."""
         self.deployment.store_by_name[entry].lose_answers = 1
         self._change(entry, _zone_out)
         self.deployment.pass_time(STEP_SECONDS)
@@ -106,11 +112,11 @@
     @precondition(lambda self: len(self.deployment.node_by_name) < MAX_NODES)
     @rule(data=st.data())
     def join(self, data):
-        """Let a process join that knows one other, perhaps an old one."""
+        """Start a process seeded by entry-1 and another, perhaps outdated, process."""
         names = sorted(self.deployment.node_by_name)
         seed = data.draw(st.sampled_from(names))
-        self.started += 1
-        self.deployment.start(f"agent-{self.started}", [seed, "entry-1"])
+        self.started_count += 1
+        self.deployment.start(f"agent-{self.started_count}", [seed, "entry-1"])
         self.deployment.pass_time(STEP_SECONDS)
 
     @precondition(lambda self: len(self.deployment.node_by_name) > 3)
@@ -125,15 +131,15 @@
 
     @rule(entry=st.sampled_from(["entry-1", "entry-2"]))
     def restart_entry(self, entry):
-        """Replace an entry: it takes the whole configuration from the store."""
+        """Restart an entry without state: it reads the configuration from the store."""
         others = sorted(set(self.deployment.node_by_name) - {entry})
         self.deployment.stop(entry)
         self.deployment.start(entry, others[:1])
         self.deployment.pass_time(STEP_SECONDS)
 
     @rule(data=st.data(), number=st.integers(0, 1))
-    def remove_behind_a_cut(self, data, number):
-        """Cut one agent off while a VM is removed and all entries are replaced."""
+    def remove_during_cut(self, data, number):
+        """Partition one agent while a VM is removed and both entries are restarted."""
         agents = sorted(
             n for n in self.deployment.node_by_name if n.startswith("agent")
         )
@@ -148,8 +154,8 @@
         self.deployment.pass_time(STEP_SECONDS)
 
     @rule(data=st.data())
-    def cut(self, data):
-        """Cut the network in two."""
+    def cut_network(self, data):
+        """Partition the network in two."""
         names = sorted(self.deployment.node_by_name)
         side = data.draw(st.sets(st.sampled_from(names), min_size=1))
         self.deployment.cut(side)
@@ -157,17 +163,17 @@
 
     @rule()
     def heal(self):
-        """End the cut."""
+        """End the partition."""
         self.deployment.heal()
         self.deployment.pass_time(STEP_SECONDS)
 
     def teardown(self):
-        """Let everything settle, then compare with the store's history."""
+        """Wait for convergence, then compare with the store's history."""
         if not hasattr(self, "deployment"):
             return
         try:
             self.deployment.heal()
-            self.deployment.pass_time(QUIET_SECONDS)
+            self.deployment.pass_time(CONVERGENCE_SECONDS)
             self._check()
         finally:
             self.deployment.close()
@@ -180,13 +186,14 @@
         return {c.revision: split_parts(c) for c in configurations}
 
     def _check_answers(self, configurations):
-        # What operators were told against what the store took: each change at most
-        # once, and one that was told accepted at the revision told, or for nothing.
+        # Compare the answers to operators with the store: each change was written at
+        # most once, and one answered as accepted was written at the answered revision
+        # or changed nothing.
         change_ids = [c.change_id for c in configurations]
         assert len(change_ids) == len(set(change_ids)), change_ids
         revision_by_change = {c.change_id: c.revision for c in configurations}
-        for change_id, work in self.work_by_change.items():
-            outcome = work.result()
+        for change_id, task in self.task_by_change.items():
+            outcome = task.result()
             revision = revision_by_change.get(change_id)
             if isinstance(outcome, Accepted):
                 assert revision in (None, outcome.revision), (change_id, outcome)
@@ -195,31 +202,35 @@
 
     def _check(self):
         accepted = self._accepted()
-        for name, seen in self.deployment.seen_by_name.items():
-            revisions = [configuration.revision for configuration in seen]
+        for name, adopted in self.deployment.seen_by_name.items():
+            revisions = [configuration.revision for configuration in adopted]
             assert revisions == sorted(set(revisions)), (name, revisions)
-            for configuration in seen:
+            for configuration in adopted:
                 assert split_parts(configuration) == accepted[configuration.revision], (
                     name
                 )
         newest = max(accepted, default=0)
         for name, node in self.deployment.node_by_name.items():
             assert node.in_force.revision == newest, (name, node.in_force, newest)
-        Histories.checked += 1
+        ConfigurationHistory.checked_count += 1
 
 
 @when("{count:d} random histories of up to {steps:d} steps are run on virtual time")
 def step_histories(context, count, steps):
-    Histories.checked = 0
+    ConfigurationHistory.checked_count = 0
     context.count = count
-    run_histories(Histories, count, steps)
+    run_histories(ConfigurationHistory, count, steps)
 
 
-@then("in each of them every process only went forward through the store's revisions")
-def step_forward(context):
-    assert Histories.checked >= context.count, Histories.checked
+@then("in each of them every process adopted the store's revisions in increasing order")
+def step_increasing(context):
+    assert ConfigurationHistory.checked_count >= context.count, (
+        ConfigurationHistory.checked_count
+    )
 
 
-@then("in each of them all processes had the newest one 10 s after the last fault")
-def step_everywhere(context):
-    assert Histories.checked >= context.count, Histories.checked
+@then("in each of them all processes had the newest revision 10 s after the last fault")
+def step_converged(context):
+    assert ConfigurationHistory.checked_count >= context.count, (
+        ConfigurationHistory.checked_count
+    )
--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -1,4 +1,4 @@
-"""Steps on checking an inventory."""
+"""Steps of features/configuration.feature: checks of an inventory."""
 
 from behave import given, then, when
 
@@ -34,8 +34,8 @@
     context.problems = _check(context.raw)
 
 
-@when("the misspelt key is mended")
-def step_mend(context):
+@when("the misspelt key is corrected")
+def step_correct(context):
     vm = context.raw["vms"][0]
     vm["cores"] = vm.pop("coers")
     context.problems = _check(context.raw)
--- a/features/steps/golden_steps.py
+++ b/features/steps/golden_steps.py
@@ -1,11 +1,11 @@
-"""Steps on golden files: whole sessions at a shell, run again and compared as text.
+"""Steps of features/golden: shell sessions, repeated and compared with golden files.
 
-A golden file begins with `#` lines that say what it shows and what was left out of
-its output. Then come commands, each after a prompt (`$ `, or `anna$ ` where several
-operators take part), each followed by what it printed, standard error included, and
-by `exit N` where it did not end with 0.
+A golden file begins with `#` lines that say what it shows and what is omitted from its
+output. Then come commands, each after a prompt (`$ `, or `anna$ ` where several
+operators take part), followed by its output with standard error, and by `exit N` where
+the exit code is not 0.
 
-`behave -D record=yes features/golden/zones.feature` writes the files anew.
+`behave -D record=yes features/golden/operators.feature` rewrites that feature's files.
 """
 
 import difflib
@@ -50,7 +50,7 @@
         "TOKEN": ADMIN_TOKEN,
         "WAGTAILCLEAT_SETTINGS": "operator.json",
     }
-    _put_programs(context)
+    _install_programs(context)
 
 
 @given("a shell without a deployment")
@@ -59,7 +59,7 @@
     context.add_cleanup(folder.cleanup)
     context.folder = Path(folder.name)
     context.variables = {}
-    _put_programs(context)
+    _install_programs(context)
 
 
 @given('its folder has "{name}"')
@@ -71,7 +71,7 @@
 def step_session(context, name):
     context.path = GOLDEN / name
     context.recorded = context.path.read_text()
-    context.seen = "".join(_run_again(context, context.recorded))
+    context.seen = "".join(_replay(context, context.recorded))
     if context.config.userdata.get("record"):
         context.path.write_text(context.seen)
         context.recorded = context.seen
@@ -85,7 +85,7 @@
     assert context.seen == context.recorded, "\n".join(difference)
 
 
-def _put_programs(context):
+def _install_programs(context):
     programs = context.folder / "bin"
     programs.mkdir()
     for name, module in PROGRAMS.items():
@@ -100,7 +100,7 @@
     context.environment |= context.variables
 
 
-def _run_again(context, recorded):
+def _replay(context, recorded):
     for line in recorded.splitlines(keepends=True):
         found = PROMPT.match(line.rstrip("\n"))
         if found:
--- a/features/steps/operator_demo_steps.py
+++ b/features/steps/operator_demo_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the demonstration."""
+"""Steps of features/operator/demo.feature: run tools/demo.py."""
 
 import os
 import subprocess
@@ -18,7 +18,8 @@
     folder = tempfile.TemporaryDirectory()
     context.add_cleanup(folder.cleanup)
     context.folder = Path(folder.name)
-    # Its processes have its own folder in their command lines, to be found by.
+    # The processes of the demonstration have its folder in their command lines, by
+    # which they are found.
     context.ended = subprocess.run(
         [sys.executable, "-m", "tools.demo"],
         cwd=ROOT,
@@ -39,16 +40,16 @@
     assert not missing, (missing, context.ended.stdout)
 
 
-@then("no process of it is left")
+@then("none of its processes is left")
 def step_none_left(context):
-    lines = [_read(path) for path in Path("/proc").glob("[0-9]*/cmdline")]
-    left = [line for line in lines if str(context.folder).encode() in line]
-    assert not left, left
+    lines = [_read_command_line(path) for path in Path("/proc").glob("[0-9]*/cmdline")]
+    remaining = [line for line in lines if str(context.folder).encode() in line]
+    assert not remaining, remaining
     assert not list(context.folder.iterdir())
 
 
-def _read(path):
-    # Any other process of the machine may end between the listing and the reading.
+def _read_command_line(path):
+    # Any process of the machine may end between the listing and this read.
     try:
         return path.read_bytes()
     except OSError:
--- a/features/steps/operator_pages_steps.py
+++ b/features/steps/operator_pages_steps.py
@@ -1,4 +1,4 @@
-"""Steps that compare the operators' pages with the code."""
+"""Steps of features/operator/pages.feature: compare the docs with the code."""
 
 import ast
 import json
@@ -13,14 +13,14 @@
 from wagtailcleat.settings import AgentSettings, EntrySettings, Timing, load
 
 EXAMPLES = ROOT / "examples"
-LOUD = ("warning", "error", "critical", "exception")
+REPORTED_METHODS = ("warning", "error", "critical", "exception")
 
 
 def _page(name):
     return (ROOT / "docs" / name).read_text()
 
 
-def _row(field):
+def _settings_row(field):
     if field.required:
         return f"| `{field.encode_name}` | | "
     default = field.default
@@ -34,12 +34,12 @@
 
 @then(
     'the settings of "wagtailcleat-entry", "wagtailcleat-agent" and their timing'
-    " stand in docs/OPERATIONS.md"
+    " are listed in docs/OPERATIONS.md"
 )
 def step_settings_page(context):
     page = _page("OPERATIONS.md")
     rows = {
-        _row(field)
+        _settings_row(field)
         for kind in (EntrySettings, AgentSettings, Timing)
         for field in msgspec.structs.fields(kind)
     }
@@ -47,19 +47,21 @@
     assert not missing, missing
 
 
-@then("each warning, error and crash that the code logs stands in docs/OPERATIONS.md")
+@then(
+    "each warning, error and crash that the code logs is listed in docs/OPERATIONS.md"
+)
 def step_log_page(context):
     page = _page("OPERATIONS.md")
     sentences = [
         sentence
         for path in sorted((ROOT / "wagtailcleat").rglob("*.py"))
-        for sentence in _logged(path)
+        for sentence in _logged_sentences(path)
     ]
     missing = [sentence for sentence in sentences if sentence not in page]
     assert sentences and not missing, missing
 
 
-def _logged(path: Path):
+def _logged_sentences(path: Path):
     prefix = ""
     for node in ast.walk(ast.parse(path.read_text())):
         if not (isinstance(node, ast.Call) and node.args):
@@ -69,15 +71,17 @@
             continue
         if getattr(node.func, "id", "") == "part_logger":
             prefix = first.value
-        elif getattr(node.func, "attr", "") in LOUD and _is_log(node.func):
+        elif getattr(node.func, "attr", "") in REPORTED_METHODS and _is_module_log(
+            node.func
+        ):
             yield f"{prefix}: {first.value.partition('%')[0].strip()}"
 
 
-def _is_log(function):
+def _is_module_log(function):
     return getattr(function.value, "id", "") == "log"
 
 
-@then("each exit code stands in docs/ADMIN.md")
+@then("each exit code is listed in docs/ADMIN.md")
 def step_exit_page(context):
     page = _page("ADMIN.md")
     missing = [code.name for code in Exit if f"| {code.value} | " not in page]
