--- a/features/steps/configuration_fuzz_steps.py
+++ b/features/steps/configuration_fuzz_steps.py
@@ -67,8 +67,8 @@
     def begin(self):
         """Start two entries and two agents."""
         self.deployment = Deployment()
-        self.started_count = 4
-        self.change_count = 0
+        self.started = 4
+        self.changes = 0
         self.task_by_change = {}
         self.deployment.start("entry-1", [])
         self.deployment.start("entry-2", ["entry-1"])
@@ -77,9 +77,9 @@
         self.deployment.pass_time(1.0)
 
     def _change(self, entry, change):
-        self.change_count += 1
+        self.changes += 1
         store = self.deployment.store_by_name[entry]
-        change_id = f"change-{self.change_count}"
+        change_id = f"change-{self.changes}"
         task = write(store, None, change_id, change)
         self.task_by_change[change_id] = self.deployment.loop.create_task(task)
 
@@ -115,8 +115,8 @@
         """Start a process seeded by entry-1 and another, perhaps outdated, process."""
         names = sorted(self.deployment.node_by_name)
         seed = data.draw(st.sampled_from(names))
-        self.started_count += 1
-        self.deployment.start(f"agent-{self.started_count}", [seed, "entry-1"])
+        self.started += 1
+        self.deployment.start(f"agent-{self.started}", [seed, "entry-1"])
         self.deployment.pass_time(STEP_SECONDS)
 
     @precondition(lambda self: len(self.deployment.node_by_name) > 3)
--- a/wagtailcleat/operator/explain.py
+++ b/wagtailcleat/operator/explain.py
@@ -149,7 +149,7 @@
     yield from lost_time_lines(timeline.job_lines)
     yield from gap_lines(timeline)
     if timeline.unreadable:
-        yield f"! {timeline.unreadable} lines could not be read and were passed over"
+        yield f"! {timeline.unreadable} lines could not be read and were skipped"
 
 
 def gap_lines(timeline: JobTimeline) -> Iterator[str]:
@@ -175,7 +175,7 @@
             yield f"! {run} was started; no line says how it ended"
             continue
         yield (
-            f"! {run} was lost: the worker of {worker_start['node']} began anew"
+            f"! {run} was lost: the worker of {worker_start['node']} restarted"
             f" at {worker_start['time']}"
         )
 
