--- a/wagtailcleat/configuration/parts.py
+++ b/wagtailcleat/configuration/parts.py
@@ -2,7 +2,7 @@
 
 Gossip sends only changed parts: at 16 KB a second, the whole inventory of the target
 size can't reach every process within seconds, and a change is seldom more than one or
-two parts. The hot part, the zones out of service, stands alone.
+two parts. The hot part (the zones out of service) is a part of its own.
 """
 
 from typing import Any
@@ -146,7 +146,7 @@
         return ConfigurationDelta(self.revision, change_id, parts, whole)
 
     def merge(self, delta: ConfigurationDelta, now: float) -> bool:
-        """Apply a delta requested since the revision in force; return if it was newer.
+        """Apply a delta since the revision in force; return whether it was newer.
 
         A delta that was requested at an older revision holds all needed parts and
         more, so it may arrive late.
--- a/wagtailcleat/node.py
+++ b/wagtailcleat/node.py
@@ -63,7 +63,7 @@
         self.supervisor.spawn("freshness", self.freshness.run)
 
     def fresh(self) -> bool:
-        """Return whether the view may be used, and is not from before a pause."""
+        """Return whether the view may be used: refreshed since the last pause."""
         return self.freshness.fresh(self.clock())
 
     def rng(self, purpose: str) -> random.Random:
