--- a/wagtailcleat/batch/record.py
+++ b/wagtailcleat/batch/record.py
@@ -1,4 +1,8 @@
-"""A shard's record: jobs, tasks and attempts, folded from its committed events."""
+"""A shard's record: the state of its jobs, tasks and attempts.
+
+The journal builds it by applying the committed events of the shard's log in order,
+so every owner that reads the same log has the same record.
+"""
 
 from collections import Counter
 from collections.abc import Iterator
@@ -15,7 +19,7 @@
 
 
 class TaskState(Enum):
-    """How a task stands; only `PENDING` and `ASSIGNED` are open."""
+    """State of a task; a task in state `PENDING` or `ASSIGNED` is open."""
 
     PENDING = "pending"
     ASSIGNED = "assigned"
@@ -25,11 +29,11 @@
 
 
 OPEN_STATES = (TaskState.PENDING, TaskState.ASSIGNED)
-EVICTIONS = (AttemptState.EVICTED, AttemptState.LAPSED)
+EVICTION_STATES = (AttemptState.EVICTED, AttemptState.LAPSED)
 
 
 class Event(msgspec.Struct, frozen=True, array_like=True):
-    """Base of what a shard's log holds; `at` is wall-clock seconds since 1970."""
+    """Base of the events in a shard's log; `at` is wall-clock seconds since 1970."""
 
 
 class JobAccepted(Event, frozen=True, tag="job"):
@@ -40,7 +44,7 @@
 
 
 class Assigned(Event, frozen=True, tag="assigned"):
-    """An attempt was given to a VM; it may start from now on."""
+    """An attempt was assigned to a VM; it may start from now on."""
 
     attempt: AttemptId
     vm: VmName
@@ -50,7 +54,7 @@
 
 
 class AttemptEnded(Event, frozen=True, tag="ended"):
-    """An attempt surely runs no more."""
+    """An attempt has ended or will never start; it certainly does not run."""
 
     attempt: AttemptId
     state: AttemptState
@@ -68,7 +72,7 @@
 
 
 class JobStopped(Event, frozen=True, tag="stopped"):
-    """A job is given up: it can't be run."""
+    """A job is stopped because its tasks keep failing."""
 
     job: JobId
     reason: str
@@ -87,7 +91,7 @@
 
 
 class TaskRecord(msgspec.Struct, array_like=True):
-    """A task; `attempt` is the number of its last attempt, which may run."""
+    """A task; `attempt` is the number of its last attempt, which may be running."""
 
     state: TaskState = TaskState.PENDING
     attempt: int = 0
@@ -99,11 +103,11 @@
     evictions: int = 0
     failed_on: list[VmName] = []
     starts: int = 0
-    """How often it was given to a VM; `attempt` may leave numbers out."""
+    """How often the task was assigned to a VM; attempt numbers may have gaps."""
 
 
 class JobTotals(msgspec.Struct, array_like=True):
-    """What is said of a job's tasks taken together."""
+    """Totals over all tasks of a job."""
 
     count_by_state: dict[TaskState, int]
     attempts: int
@@ -112,10 +116,10 @@
 
 
 class JobRecord(msgspec.Struct, array_like=True):
-    """A job and its tasks, by index; an ended one keeps only their totals.
+    """A job and its tasks, by index; an ended job keeps only the totals.
 
-    A job's account is kept for a day. With all its tasks, a shard at the peak would
-    outgrow the store's largest value within the hour.
+    An ended job's account is kept for a day. If its tasks were kept too, a shard at
+    peak load would outgrow the store's largest value within an hour.
     """
 
     spec: JobSpec
@@ -127,8 +131,8 @@
     ended_at: float = 0.0
     ended_totals: JobTotals | None = None
 
-    def open(self) -> bool:
-        """Tell whether a task is still to be run or to end."""
+    def is_open(self) -> bool:
+        """Return whether any task is pending or assigned."""
         return any(task.state in OPEN_STATES for task in self.tasks)
 
     def count(self, state: TaskState) -> int:
@@ -136,7 +140,7 @@
         return self.totals().count_by_state.get(state, 0)
 
     def totals(self) -> JobTotals:
-        """Return what is said of the tasks taken together."""
+        """Return the totals over all tasks."""
         if self.ended_totals is not None:
             return self.ended_totals
         return JobTotals(
@@ -147,14 +151,14 @@
         )
 
     def end(self, at: float) -> None:
-        """Note that no task is open any longer."""
+        """Mark the job as ended, and replace its tasks by their totals."""
         self.ended_at = at
         self.ended_totals = self.totals()
         self.tasks = []
 
 
 class Snapshot(msgspec.Struct, array_like=True):
-    """A shard's whole state after the log entry `number`."""
+    """A shard's whole state up to and including log entry `number`."""
 
     number: int
     jobs: list[JobRecord]
@@ -162,37 +166,40 @@
 
 @dataclass
 class ShardRecord:
-    """A shard's jobs; changed by `apply` alone, which keeps the indexes too."""
+    """A shard's jobs and the indexes on them; only `apply` changes them.
+
+    `number` is the number of the last log entry applied.
+    """
 
     job_by_id: dict[JobId, JobRecord] = field(default_factory=dict)
     number: int = 0
     task_by_attempt: dict[AttemptId, TaskRecord] = field(default_factory=dict)
-    """Every attempt that may be running."""
+    """The task of every attempt that may be running."""
     _pending_by_job: dict[JobId, dict[int, TaskRecord]] = field(default_factory=dict)
     _assigned_by_job: Counter[JobId] = field(default_factory=Counter)
 
     def __post_init__(self) -> None:
-        """Index the jobs given."""
+        """Build the indexes from the given jobs."""
         for job_id, job in self.job_by_id.items():
             self._index(job_id, job)
 
     def apply(self, event: AnyEvent) -> None:
-        """Fold one committed event into the state."""
+        """Apply one committed event to the state."""
         if isinstance(event, JobAccepted):
-            self._accepted(event)
+            self._apply_accepted(event)
         elif isinstance(event, Assigned):
-            self._assigned(event)
+            self._apply_assigned(event)
         elif isinstance(event, AttemptEnded):
-            self._ended(event)
+            self._apply_ended(event)
         elif isinstance(event, JobCancelled):
-            self._cancelled(event.job, event.reason, event.at, stopped=False)
+            self._apply_cancelled(event.job, event.reason, event.at, stopped=False)
         elif isinstance(event, JobStopped):
-            self._cancelled(event.job, event.reason, event.at, stopped=True)
+            self._apply_cancelled(event.job, event.reason, event.at, stopped=True)
         else:
-            self._forgotten(event.job)
+            self._apply_forgotten(event.job)
 
     def task(self, attempt: AttemptId) -> TaskRecord | None:
-        """Return the task of an attempt, where the record still has it."""
+        """Return the task of an attempt, or None if the record no longer has it."""
         job = self.job_by_id.get(job_of(attempt))
         index = int(attempt.split("/")[1])
         if job is None or index >= len(job.tasks):
@@ -200,41 +207,41 @@
         return job.tasks[index]
 
     def is_current(self, attempt: AttemptId) -> bool:
-        """Tell whether the attempt is its task's last and has not ended."""
+        """Return whether the attempt is its task's last one and has not ended."""
         return attempt in self.task_by_attempt
 
     def is_open(self, job: JobId) -> bool:
-        """Tell whether a task of the job is still to be run or to end."""
+        """Return whether any task of the job is pending or assigned."""
         return bool(self._pending_by_job.get(job)) or self._assigned_by_job[job] > 0
 
-    def open_tasks(self) -> int:
-        """Return how many tasks are still to be run or to end."""
+    def open_task_count(self) -> int:
+        """Return how many tasks are pending or assigned."""
         return self.pending_count() + len(self.task_by_attempt)
 
     def pending_count(self) -> int:
-        """Return how many tasks are to be placed."""
+        """Return how many tasks are pending."""
         return sum(len(tasks) for tasks in self._pending_by_job.values())
 
     def pending(
         self,
     ) -> Iterator[tuple[JobRecord, Iterator[tuple[TaskId, TaskRecord]]]]:
-        """Return each job with the tasks to place: urgent first, then by deadline.
+        """Yield each job with its pending tasks: urgent jobs first, then by deadline.
 
-        Nothing may be applied while a job's tasks are gone through.
+        No event may be applied while a job's tasks are iterated over.
         """
         jobs = sorted(
             (self.job_by_id[job_id] for job_id in self._pending_by_job),
             key=lambda job: (not job.spec.urgent, job.spec.deadline),
         )
         for job in jobs:
-            yield job, self._tasks_to_place(job.spec.id)
+            yield job, self._pending_tasks(job.spec.id)
 
-    def _tasks_to_place(self, job_id: JobId) -> Iterator[tuple[TaskId, TaskRecord]]:
+    def _pending_tasks(self, job_id: JobId) -> Iterator[tuple[TaskId, TaskRecord]]:
         for index, task in self._pending_by_job[job_id].items():
             yield task_id(job_id, index), task
 
-    def taken_by(self, team: str) -> Resources:
-        """Return what a team's assigned tasks take."""
+    def assigned_resources(self, team: str) -> Resources:
+        """Return the sum of the declared sizes of a team's assigned tasks."""
         total = Resources()
         for job_id, count in self._assigned_by_job.items():
             spec = self.job_by_id[job_id].spec
@@ -242,14 +249,14 @@
                 total = total + spec.task.size.times(count)
         return total
 
-    def snapshot(self) -> bytes:
-        """Return the whole state as bytes."""
+    def encode_snapshot(self) -> bytes:
+        """Return the whole state encoded as a snapshot."""
         jobs = list(self.job_by_id.values())
         return msgspec.msgpack.encode(Snapshot(self.number, jobs))
 
-    def _accepted(self, event: JobAccepted) -> None:
-        # The same job sent twice at once is accepted twice in the log; a second
-        # record would forget the attempts of the first, which may be running.
+    def _apply_accepted(self, event: JobAccepted) -> None:
+        # A job submitted twice at the same time is accepted twice in the log. A second
+        # record would replace the first and lose its attempts, which may be running.
         if event.spec.id in self.job_by_id:
             return
         tasks = [TaskRecord() for _ in range(event.spec.tasks)]
@@ -257,11 +264,12 @@
         self.job_by_id[event.spec.id] = job
         self._index(event.spec.id, job)
 
-    def _assigned(self, event: Assigned) -> None:
+    def _apply_assigned(self, event: Assigned) -> None:
         task = self.task(event.attempt)
         job_id = job_of(event.attempt)
         index = int(event.attempt.split("/")[1])
-        # Cancelled between the reservation and the commit: nothing starts.
+        # The job was cancelled between the reservation and the commit, so nothing
+        # starts.
         if task is None or task.state is not TaskState.PENDING:
             return
         task.state = TaskState.ASSIGNED
@@ -270,11 +278,11 @@
         task.node = event.node
         task.incarnation = event.incarnation
         task.starts += 1
-        self._no_longer_pending(job_id, index)
+        self._remove_pending(job_id, index)
         self._assigned_by_job[job_id] += 1
         self.task_by_attempt[event.attempt] = task
 
-    def _ended(self, event: AttemptEnded) -> None:
+    def _apply_ended(self, event: AttemptEnded) -> None:
         task = self.task_by_attempt.pop(event.attempt, None)
         if task is None:
             return
@@ -297,16 +305,17 @@
         if event.state is AttemptState.FAILED:
             task.failures += 1
             task.failed_on = sorted({*task.failed_on, task.vm})
-        if event.state in EVICTIONS and not stopping:
+        if event.state in EVICTION_STATES and not stopping:
             task.evictions += 1
         if not self.is_open(job_id):
             job.end(event.at)
 
-    def _cancelled(
+    def _apply_cancelled(
         self, job_id: JobId, reason: str, at: float, *, stopped: bool
     ) -> None:
         job = self.job_by_id.get(job_id)
-        # Orders cross: what has ended, or is being stopped already, stays so.
+        # Cancellations and stops may race: the first one wins, and a job that has
+        # ended stays as it is.
         if job is None or job.cancelled or job.stopped or not self.is_open(job_id):
             return
         job.cancelled = not stopped
@@ -317,11 +326,11 @@
         if not self.is_open(job_id):
             job.end(at)
 
-    def _forgotten(self, job_id: JobId) -> None:
+    def _apply_forgotten(self, job_id: JobId) -> None:
         if job_id in self.job_by_id and not self.is_open(job_id):
             del self.job_by_id[job_id]
 
-    def _no_longer_pending(self, job_id: JobId, index: int) -> None:
+    def _remove_pending(self, job_id: JobId, index: int) -> None:
         waiting = self._pending_by_job[job_id]
         del waiting[index]
         if not waiting:
@@ -337,14 +346,14 @@
                 self._assigned_by_job[job_id] += 1
 
 
-def restore(snapshot: bytes) -> ShardRecord:
-    """Return the state that `snapshot` holds."""
-    held = msgspec.msgpack.decode(snapshot, type=Snapshot)
-    return ShardRecord({job.spec.id: job for job in held.jobs}, held.number)
+def decode_snapshot(snapshot: bytes) -> ShardRecord:
+    """Return the record encoded in `snapshot`."""
+    stored = msgspec.msgpack.decode(snapshot, type=Snapshot)
+    return ShardRecord({job.spec.id: job for job in stored.jobs}, stored.number)
 
 
 def encode_events(events: list[AnyEvent]) -> bytes:
-    """Return one log entry."""
+    """Return the log entry that holds `events`."""
     return msgspec.msgpack.encode(events)
 
 
