--- a/wagtailcleat/agent/eviction.py
+++ b/wagtailcleat/agent/eviction.py
@@ -1,4 +1,4 @@
-"""Which attempts an agent evicts to make room, as a plain decision."""
+"""Selects the attempts to evict when resources are short; called by `Evictor`."""
 
 from collections.abc import Iterable
 
@@ -7,32 +7,33 @@
 from wagtailcleat.resources import NOTHING, ROUNDING_CORES, Resources
 
 
-def to_evict(
+def select_evictions(
     commitments: Commitments,
     evictable: Iterable[AttemptId],
-    wanted: Resources,
+    required: Resources,
     now: float,
 ) -> list[AttemptId]:
-    """Return the attempts to evict so that `wanted` fits; none where it never will.
+    """Return the attempts to evict so that `required` fits; none if it cannot fit.
 
-    Parameters: `evictable` with those to go first first. An attempt that takes
-    nothing of what lacks stays.
+    Attempts that hold none of the resources in short supply are not selected.
+
+    Parameters: `evictable` lists the candidates in the order of eviction.
     """
-    lacking = _lacking(wanted, commitments.free(now))
-    chosen: list[AttemptId] = []
+    shortfall = _shortfall(required, commitments.free(now))
+    selected: list[AttemptId] = []
     for attempt in evictable:
-        if lacking == NOTHING:
+        if shortfall == NOTHING:
             break
-        held = commitments.held_by_attempt.get(attempt)
-        if held is None or not _helps(held.size, lacking):
+        allocation = commitments.allocation_by_attempt.get(attempt)
+        if allocation is None or not _reduces_shortfall(allocation.size, shortfall):
             continue
-        chosen.append(attempt)
-        lacking = _lacking(lacking, held.size)
-    return chosen if lacking == NOTHING else []
+        selected.append(attempt)
+        shortfall = _shortfall(shortfall, allocation.size)
+    return selected if shortfall == NOTHING else []
 
 
-def _lacking(wanted: Resources, there: Resources) -> Resources:
-    left = wanted - there
+def _shortfall(required: Resources, available: Resources) -> Resources:
+    left = required - available
     return Resources(
         left.cores if left.cores > ROUNDING_CORES else 0.0,
         max(0, left.memory_mb),
@@ -40,9 +41,9 @@
     )
 
 
-def _helps(size: Resources, lacking: Resources) -> bool:
+def _reduces_shortfall(size: Resources, shortfall: Resources) -> bool:
     return (
-        (lacking.cores > 0 and size.cores > 0)
-        or (lacking.memory_mb > 0 and size.memory_mb > 0)
-        or (lacking.accelerators > 0 and size.accelerators > 0)
+        (shortfall.cores > 0 and size.cores > 0)
+        or (shortfall.memory_mb > 0 and size.memory_mb > 0)
+        or (shortfall.accelerators > 0 and size.accelerators > 0)
     )
