--- a/bench/batch_fakes.py
+++ b/bench/batch_fakes.py
@@ -68,7 +68,7 @@
                 self.useful_seconds += TICK_SECONDS * task.throttle * task.size.cores
             if self.used() > self.standin.capacity.cores:
                 self.overuse_seconds += TICK_SECONDS
-            self.standin.settle(now)
+            self.standin.end_due_tasks(now)
             self.standin._sample(now)
 
     def used(self) -> float:
@@ -175,12 +175,12 @@
 
     async def _reached(self) -> bool:
         await asyncio.sleep(CALL_SECONDS)
-        self.standin.settle(self._clock())
+        self.standin.end_due_tasks(self._clock())
         return self.up
 
 
 def _shown(task: Task) -> WorkerTask:
-    return msgspec.convert(task.shown(), WorkerTask)
+    return msgspec.convert(task.to_dict(), WorkerTask)
 
 
 @dataclass
--- a/features/steps/batch_fuzz_steps.py
+++ b/features/steps/batch_fuzz_steps.py
@@ -140,12 +140,12 @@
     @rule(vm=st.sampled_from(VMS))
     def cut(self, vm):
         """Partition an agent from the others."""
-        self.deployment.cut(vm)
+        self.deployment.isolate(vm)
 
     @rule()
     def heal(self):
         """Heal all partitions."""
-        self.deployment.cut_off.clear()
+        self.deployment.isolated.clear()
 
     @rule(down=st.booleans())
     def store(self, down):
@@ -155,8 +155,8 @@
     @rule(count=st.integers(1, 3), workers_too=st.booleans())
     def lose_answers(self, count, workers_too):
         """Lose the next answers of the store, and of the workers."""
-        self.deployment.lost_answers = count
-        self.deployment.lost_worker_answers = count if workers_too else 0
+        self.deployment.store_answers_to_lose = count
+        self.deployment.worker_answers_to_lose = count if workers_too else 0
 
     @rule(out=st.booleans())
     def zone(self, out):
@@ -195,8 +195,8 @@
     def _settle(self):
         deployment = self.deployment
         deployment.store_down = False
-        deployment.lost_answers = deployment.lost_worker_answers = 0
-        deployment.cut_off.clear()
+        deployment.store_answers_to_lose = deployment.worker_answers_to_lose = 0
+        deployment.isolated.clear()
         self.zone(False)
         self.start()
         until = self._now() + SETTLE_TIMEOUT_SECONDS
--- a/features/steps/configuration_fuzz_steps.py
+++ b/features/steps/configuration_fuzz_steps.py
@@ -139,7 +139,7 @@
         )
         self._change("entry-1", _with_vm(number))
         self.deployment.pass_time(3.0)
-        self.deployment.cut({data.draw(st.sampled_from(agents))})
+        self.deployment.partition({data.draw(st.sampled_from(agents))})
         self._change("entry-1", _without_vm(number))
         self.deployment.pass_time(STEP_SECONDS)
         self.restart_entry("entry-1")
@@ -152,7 +152,7 @@
         """Cut the network in two."""
         names = sorted(self.deployment.node_by_name)
         side = data.draw(st.sets(st.sampled_from(names), min_size=1))
-        self.deployment.cut(side)
+        self.deployment.partition(side)
         self.deployment.pass_time(data.draw(st.sampled_from([1.0, 10.0])))
 
     @rule()
@@ -195,7 +195,7 @@
 
     def _check(self):
         accepted = self._accepted()
-        for name, seen in self.deployment.seen_by_name.items():
+        for name, seen in self.deployment.configurations_by_start.items():
             revisions = [configuration.revision for configuration in seen]
             assert revisions == sorted(set(revisions)), (name, revisions)
             for configuration in seen:
--- a/features/steps/members_steps.py
+++ b/features/steps/members_steps.py
@@ -114,7 +114,7 @@
     " while a zone is taken out"
 )
 def step_partition_and_pause(context, name, seconds):
-    context.deployment.cut({name})
+    context.deployment.partition({name})
     _change(context, lambda current: replace(current, zones_out=["zilina-a"]))
     context.deployment.pause(name, seconds)
 
--- a/features/steps/platform_adapter_steps.py
+++ b/features/steps/platform_adapter_steps.py
@@ -218,7 +218,7 @@
 def step_afterwards(context, state):
     step = {"count": 2, "cpu": 1000, "memMb": 100}
     job = context.cluster.submit([step])
-    context.cluster.until_state(job, state)
+    context.cluster.wait_for_state(job, state)
 
 
 # ---- logs
@@ -226,7 +226,7 @@
 
 @when('it has ended as "{state}" at the other entry')
 def step_has_ended(context, state):
-    context.cluster.until_state(context.job, state, entry=context.entry, timeout=20)
+    context.cluster.wait_for_state(context.job, state, entry=context.entry, timeout=20)
 
 
 @then("its story tells, in this order")
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -23,7 +23,7 @@
     context.add_cleanup(folder.cleanup)
     context.cluster = PlatformCluster(Path(folder.name), entries=entries, agents=agents)
     context.add_cleanup(context.cluster.close)
-    context.cluster.until_open()
+    context.cluster.wait_until_ready()
     context.entry = 0
 
 
@@ -38,7 +38,7 @@
         Path(folder.name), entries=entries, agents=agents, speeds=(1.0, float(speed))
     )
     context.add_cleanup(context.cluster.close)
-    context.cluster.until_open()
+    context.cluster.wait_until_ready()
     context.entry = 0
 
 
@@ -62,7 +62,7 @@
 @then('a job of {count:d} tasks handed in at entry 1 is shown as "{state}"')
 def step_hand_in_done(context, count, state):
     _hand_in(context, _steps(count))
-    context.cluster.until_state(context.job, state)
+    context.cluster.wait_for_state(context.job, state)
 
 
 def _steps(count, second=0):
@@ -138,12 +138,12 @@
 
 @then('it is shown as "{state}" at entry {entry:d}')
 def step_shown(context, state, entry):
-    context.cluster.until_state(context.job, state, entry=entry - 1, timeout=SECONDS)
+    context.cluster.wait_for_state(context.job, state, entry=entry - 1, timeout=SECONDS)
 
 
 @then('it is shown as "{state}" at the other entry')
 def step_shown_other(context, state):
-    context.cluster.until_state(
+    context.cluster.wait_for_state(
         context.job, state, entry=context.entry, timeout=SECONDS
     )
 
@@ -245,7 +245,7 @@
 
 @when('zone "{zone}" is taken out and the agents know it')
 def step_zone_out(context, zone):
-    context.cluster.operate({f"op/evacuate/{zone}": {}})
+    context.cluster.write_as_operator({f"op/evacuate/{zone}": {}})
     processes = [*context.cluster.agents, *context.cluster.entries]
     wait_for(
         lambda: all(_knows_zone(process, zone) for process in processes),
@@ -350,7 +350,7 @@
 @then('all of them are shown as "{state}" at entry 1')
 def step_all_shown(context, state):
     for job in context.jobs:
-        context.cluster.until_state(job, state, timeout=SECONDS)
+        context.cluster.wait_for_state(job, state, timeout=SECONDS)
 
 
 @when("worker {number:d} carries orders out {seconds:g} s late")
--- a/features/steps/requests_fuzz_steps.py
+++ b/features/steps/requests_fuzz_steps.py
@@ -15,7 +15,7 @@
     run_state_machine_as_test,
 )
 
-from standins.callers import SERVICE, Caller, problems
+from standins.callers import SERVICE, Caller, find_false_answers
 from standins.processes import HttpError, http
 
 CALLERS_AT_ONCE = 32
@@ -119,7 +119,7 @@
         self.link.faults()
         wait(self.calls)
         self.pool.shutdown()
-        found = problems(self.context.cluster, self.seen)
+        found = find_false_answers(self.context.cluster, self.seen)
         assert not found, found[:10]
 
 
@@ -144,7 +144,7 @@
 @then("every word to a caller is borne out by the endpoints' records")
 def step_borne_out(context):
     seen = RequestPath.seen
-    found = problems(context.cluster, seen)
+    found = find_false_answers(context.cluster, seen)
     assert not found, found[:10]
     answered = sum(call.status == 200 for call in seen)
     print(f"{len(seen)} calls, {answered} answered 200")
--- a/features/steps/requests_steps.py
+++ b/features/steps/requests_steps.py
@@ -8,7 +8,15 @@
 
 from behave import given, then, when
 
-from standins.callers import Caller, Load, Peer, count_runs, problems, request, settle
+from standins.callers import (
+    Caller,
+    LoadGenerator,
+    Peer,
+    count_runs,
+    find_false_answers,
+    request,
+    settle,
+)
 from standins.cluster import Cluster, ServiceOptions, VmOptions
 from standins.processes import HttpError, Stream, http, wait_for
 from wagtailcleat.clock import boot_time
@@ -177,7 +185,7 @@
 
 @when("the link goes silent and callers post for {seconds:d} seconds")
 def step_silent_link(context, seconds):
-    load = Load(context.cluster, 6)
+    load = LoadGenerator(context.cluster, 6)
     wait_for(lambda: len(load.seen) > 30, WAIT_TIMEOUT_SECONDS, "the load runs")
     context.link.faults(silent=True)
     time.sleep(seconds)
@@ -186,7 +194,7 @@
 
 @when("the link delays all data for {seconds:g} seconds while callers post")
 def step_delayed(context, seconds):
-    load = Load(context.cluster, 6)
+    load = LoadGenerator(context.cluster, 6)
     wait_for(lambda: len(load.seen) > 30, WAIT_TIMEOUT_SECONDS, "the load runs")
     context.link.faults(hold=True)
     time.sleep(seconds)
@@ -200,7 +208,7 @@
 
 @then("what the callers were answered agrees with the endpoints' records")
 def step_answers_match_records(context):
-    found = problems(context.cluster, context.seen)
+    found = find_false_answers(context.cluster, context.seen)
     assert not found, found[:10]
 
 
@@ -387,7 +395,7 @@
 
 
 def load_until_stop(context, query="", silent=False):
-    context.load = Load(context.cluster, 6, query)
+    context.load = LoadGenerator(context.cluster, 6, query)
     wait_for(lambda: len(context.load.seen) > 40, WAIT_TIMEOUT_SECONDS, "the load runs")
     if silent:
         context.link.faults(silent=True)
--- a/features/steps/slow_link_steps.py
+++ b/features/steps/slow_link_steps.py
@@ -45,7 +45,7 @@
     steps = [{"count": 2, "cpu": 1000, "memMb": 100, "estMs": 500}]
     job = cluster.submit(steps, entry=context.entry, prefix=PREFIX)
     left = ends_at - time.monotonic()
-    cluster.until_state(job, state, entry=context.entry, timeout=left)
+    cluster.wait_for_state(job, state, entry=context.entry, timeout=left)
 
 
 @given("a store that holds {count:d} keys of {size:d} bytes")
--- a/features/steps/standins_store_steps.py
+++ b/features/steps/standins_store_steps.py
@@ -21,7 +21,7 @@
 def put(state):
     events = [state.keyspace.put(KEY.encode(), b"value", 0)]
     state.keyspace.commit(events, "txn")
-    state.announce()
+    state.wake_watches()
 
 
 @when("a change is written at the instant at which a watch of {seconds:d} s ends")
--- a/soak/deployment.py
+++ b/soak/deployment.py
@@ -39,8 +39,8 @@
         programs = [self.entries[zone :: len(ZONES)], self.agents[zone :: len(ZONES)]]
         return [program.name for listed in programs for program in listed]
 
-    def _shared(self, name: str, number: int, host: str) -> dict[str, Any]:
-        settings = super()._shared(name, number, host)
+    def _common_settings(self, name: str, number: int, host: str) -> dict[str, Any]:
+        settings = super()._common_settings(name, number, host)
         link_host = f"{LINK_NETWORK}.{host.rpartition('.')[2]}"
         peer = self.ports[0]
         self._link(
@@ -57,14 +57,14 @@
         }
         return settings | overrides | {"seeds": seeds}
 
-    def _entry(self, number: int, host: str) -> Program:
+    def _start_entry(self, number: int, host: str) -> Program:
         name = f"entry-{number + 1}"
         front, ready = self.ports[2:4]
         ports = {"front": f"{host}:{front}", "ready": f"{host}:{ready}"}
-        settings = self._shared(name, number, host) | ports
-        return self._program(name, "wagtailcleat.cluster.entry_app", settings)
+        settings = self._common_settings(name, number, host) | ports
+        return self._start_program(name, "wagtailcleat.cluster.entry_app", settings)
 
-    def _worker(self, number: int, host: str) -> Process:
+    def _start_worker(self, number: int, host: str) -> Process:
         announced_port = free_ports(1, HOST)[0]
         arguments = ["--instance", f"i-{number + 1}", "--cores", str(self.cores)]
         arguments += ["--control", f"{host}:{self.ports[4]}"]
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -273,9 +273,9 @@
         if "store" in self._affected or "zone" in self._affected:
             return
         key = f"op/evacuate/{self._random.choice(['zilina-a', 'zilina-b'])}"
-        self._deployment.operate({key: {}})
+        self._deployment.write_as_operator({key: {}})
         self._inject("zone", f"{key}", 2.0, lambda: self._cancel_evacuation(key))
 
     def _cancel_evacuation(self, key: str) -> None:
         self._deployment.store.faults()
-        self._deployment.operate({}, remove=(key,))
+        self._deployment.write_as_operator({}, remove=(key,))
--- a/soak/run.py
+++ b/soak/run.py
@@ -41,7 +41,7 @@
     deployment = SoakDeployment(folder, entries=ENTRIES, agents=AGENTS)
     long = emphasis is Emphasis.REFUSALS
     try:
-        deployment.until_open()
+        deployment.wait_until_ready()
         if emphasis is Emphasis.SLOW_ANSWERS:
             store_ended_jobs(deployment.store, ENDED_JOBS, ENDED_JOB_BYTES)
         callers = [
--- a/standins/callers.py
+++ b/standins/callers.py
@@ -1,4 +1,4 @@
-"""Callers on kept connections, a load of them, and a peer on the inner streams."""
+"""Clients for tests: HTTP callers, a load generator and a peer on internal streams."""
 
 import http.client
 import itertools
@@ -25,12 +25,12 @@
 CALL_SECONDS = 15.0
 PAUSE_SECONDS = 0.005
 SERVICE = "booking-core"
-_load_numbers = itertools.count()
+_load_ids = itertools.count()
 
 
 @dataclass
-class Seen:
-    """What a caller saw: a status with a code where refused, or a broken call."""
+class CallResult:
+    """The result of one call: an HTTP status and body, or a connection error."""
 
     path: str
     status: int = 0
@@ -40,22 +40,24 @@
 
     @property
     def code(self) -> str:
-        """The stable code of a refusal; empty for an endpoint's answer."""
+        """The error code of a refused call; empty for an endpoint's answer."""
         found = json.loads(self.body) if self.body.startswith(b'{"code"') else {}
         return str(found.get("code", ""))
 
 
 class Caller:
-    """Keeps one connection to an entry, and opens a new one when told to."""
+    """A caller with one keep-alive connection to an entry, reopened when needed."""
 
     def __init__(self, entry: Process) -> None:
-        """Call `entry`; nothing is opened yet."""
+        """Use `entry`; the connection is opened on the first call."""
         self.entry = entry
         self._connection: http.client.HTTPConnection | None = None
 
-    def call(self, method: str, path: str, body: bytes = b"", **headers: str) -> Seen:
-        """Make a call on the kept connection."""
-        seen = Seen(path, entry=self.entry.name)
+    def call(
+        self, method: str, path: str, body: bytes = b"", **headers: str
+    ) -> CallResult:
+        """Make a call on the keep-alive connection; return an error as a result."""
+        seen = CallResult(path, entry=self.entry.name)
         try:
             if self._connection is None:
                 port = self.entry.ready["http_port"]
@@ -86,18 +88,19 @@
             self._connection = None
 
 
-class Load:
-    """Threads that post without pause, each to a path of its own each time.
+class LoadGenerator:
+    """Threads that post one request after another, each request to a unique path.
 
-    A caller whose entry takes no connection goes on at another, as a balancer would.
+    A thread whose entry refuses the connection continues at the next entry, as behind
+    a load balancer.
     """
 
     def __init__(self, cluster: Cluster, threads: int, query: str = "") -> None:
         """Start the threads."""
-        self.seen: list[Seen] = []
+        self.seen: list[CallResult] = []
         self._entries = list(cluster.entry_by_node.values())
         self._query = query
-        self._number = next(_load_numbers)
+        self._number = next(_load_ids)
         self._stopping = threading.Event()
         self._threads = [
             threading.Thread(target=self._run, args=(number,), daemon=True)
@@ -106,8 +109,8 @@
         for thread in self._threads:
             thread.start()
 
-    def stop(self) -> list[Seen]:
-        """End the load; return what all callers saw."""
+    def stop(self) -> list[CallResult]:
+        """Stop all threads; return the results of all calls."""
         self._stopping.set()
         for thread in self._threads:
             thread.join()
@@ -131,13 +134,13 @@
 
 
 def count_runs(cluster: Cluster) -> Counter[str]:
-    """Return how often each path ran, by the endpoints' own records."""
+    """Return how often each path ran, according to the endpoints' records."""
     rows = [row for vm in cluster.vm_by_name for row in cluster.runs(vm)]
     return Counter(path for _, _, path, _ in rows)
 
 
-def problems(cluster: Cluster, seen: list[Seen]) -> list[str]:
-    """Return where callers were told what the endpoints' records do not bear out."""
+def find_false_answers(cluster: Cluster, seen: list[CallResult]) -> list[str]:
+    """Return a sentence for each answer that contradicts the endpoints' records."""
     runs = count_runs(cluster)
     found = []
     for call in seen:
@@ -155,29 +158,29 @@
 
 
 class Peer:
-    """A process on the inner streams, as an entry is; each has one stream."""
+    """A client on the internal streams that identifies as an entry; has one stream."""
 
     def __init__(
         self, name: str, incarnation: int, port: int, secret: str = SECRET
     ) -> None:
-        """Connect to the peer port `port` when first used."""
+        """Use the peer port `port`; connect on first use."""
         identity = Identity(NodeId(name), Role.ENTRY, Incarnation(incarnation), secret)
         timing = StreamTiming(silence=5.0)
         self._port = port
         self._peers = Peers(identity, _refuse, timing)
 
     async def open(self) -> Stream | Lost:
-        """Return the open stream, or why there is none."""
+        """Return the open stream, or the reason why there is none."""
         return await self._peers.stream("127.0.0.1", self._port)
 
     async def stream(self) -> Stream:
-        """Return the open stream."""
+        """Return the open stream; fail if there is none."""
         stream = await self.open()
         assert isinstance(stream, Stream), stream
         return stream
 
     async def call(self, message: AnyMessage, timeout: float = 5.0) -> Any:
-        """Call the peer."""
+        """Send `message` and return the answer; `timeout` is in seconds."""
         return await (await self.stream()).call(message, timeout=timeout)
 
     def close(self) -> None:
@@ -190,7 +193,7 @@
 
 
 def request(agent_incarnation: int, request_id: str, path: str) -> ServiceRequest:
-    """Return a post to `path` as an entry would send it."""
+    """Return a POST to `path` as an entry would forward it to an agent."""
     return ServiceRequest(
         RequestId(request_id),
         ServiceName(SERVICE),
@@ -204,7 +207,7 @@
 
 
 def settle(agent_incarnation: int, request_id: str) -> Settle:
-    """Return the question what became of a request."""
+    """Return the message by which an entry asks for the outcome of a request."""
     return Settle(
         RequestId(request_id),
         ServiceName(SERVICE),
--- a/standins/cluster.py
+++ b/standins/cluster.py
@@ -1,4 +1,4 @@
-"""A whole small deployment as processes: stand-ins, agents and entries.
+"""A small deployment as local processes: stand-ins, agents and entries.
 
 with Cluster() as cluster:
     cluster.apply()
@@ -19,14 +19,14 @@
 from standins.processes import Process, Response, http
 from wagtailcleat.clock import boot_time
 
-STARTS_AT_ONCE = 4
+MAX_PARALLEL_STARTS = 4
 SECRET = "a secret of the tests only"
 ADMIN_TOKEN = "an admin token of the tests only"
 
 
 @dataclass(frozen=True)
 class VmOptions:
-    """A VM: what it holds and which services are placed on it."""
+    """A VM: its location, its capacity and the services placed on it."""
 
     name: str
     zone: str
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True)
 class ServiceOptions:
-    """A service: what each of its endpoints takes and offers."""
+    """A service: the resources and the limits of each of its endpoints."""
 
     name: str = "booking-core"
     cores: float = 4
@@ -61,10 +61,10 @@
 
 
 class Cluster:
-    """Processes of one deployment, in a folder that goes when it is closed.
+    """The processes of one deployment, in a temporary folder removed on close.
 
-    `timing` overrides stand in the settings of every program; `agent_settings` and
-    `entry_settings` are added to those of the agents and the entries.
+    `timing` is part of the settings of every program; `agent_settings` and
+    `entry_settings` are added to the settings of the agents and the entries.
     """
 
     def __init__(
@@ -78,7 +78,7 @@
         entry_settings: dict[str, Any] | None = None,
         link_store: bool = False,
     ) -> None:
-        """Start everything; `link_store` puts a link between programs and store."""
+        """Start all processes; `link_store` puts a link between programs and store."""
         self.vm_by_name = {vm.name: vm for vm in vms}
         self.services = list(services)
         self.worker_by_vm: dict[str, Process] = {}
@@ -108,7 +108,7 @@
         error: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        """Stop everything."""
+        """Stop all processes."""
         self.close()
 
     @property
@@ -119,12 +119,14 @@
     def close(self) -> None:
         """Stop every process, the programs first, and remove the folder."""
         standins = [p for p in self._processes if p.is_standin]
-        _at_once(Process.close, [p for p in self._processes if not p.is_standin])
-        _at_once(Process.close, standins)
+        _run_in_parallel(
+            Process.close, [p for p in self._processes if not p.is_standin]
+        )
+        _run_in_parallel(Process.close, standins)
         self._folder.cleanup()
 
     def inventory(self) -> dict[str, Any]:
-        """Return the inventory that lists what was started."""
+        """Return the inventory of the VMs and services of this cluster."""
         vms = list(self.vm_by_name.values())
         regions = {vm.zone: vm.zone.rpartition("-")[0] or vm.zone for vm in vms}
         fields = ("name", "zone", "rack", "cores", "memory_mb", "accelerators")
@@ -154,7 +156,7 @@
         change_id: str = "",
         entry: Process | None = None,
     ) -> Response:
-        """Apply an inventory, by default the one that lists what was started."""
+        """Apply an inventory, by default that of this cluster."""
         body = {
             "base_revision": base_revision,
             "change_id": change_id or uuid.uuid4().hex,
@@ -163,43 +165,43 @@
         }
         return self.admin("PUT", "/admin/configuration", body, entry)
 
-    def of_vm(self, vm: str) -> list[Process]:
+    def processes_on_vm(self, vm: str) -> list[Process]:
         """Return the processes on a VM, its agent first."""
         endpoints = self.endpoint_by_vm_and_service.items()
         found = [self.agent_by_vm[vm], self.worker_by_vm[vm]]
-        return found + [process for (on, _), process in endpoints if on == vm]
+        return found + [process for (host, _), process in endpoints if host == vm]
 
     def kill_vm(self, vm: str) -> None:
-        """Let a VM fail: everything on it ends at once."""
-        for process in self.of_vm(vm):
+        """Simulate a VM failure: kill all processes on it."""
+        for process in self.processes_on_vm(vm):
             process.kill()
         self._record_killed(vm)
 
     def restart_vm(self, vm: str) -> None:
-        """Start everything on a VM again, on the same ports; its tasks are gone."""
-        for process in reversed(self.of_vm(vm)):
+        """Restart all processes on a VM on the same ports; its tasks are lost."""
+        for process in reversed(self.processes_on_vm(vm)):
             process.start()
 
     def freeze_vm(self, vm: str) -> None:
-        """Pause a VM."""
-        for process in self.of_vm(vm):
+        """Pause all processes on a VM."""
+        for process in self.processes_on_vm(vm):
             process.freeze()
 
     def thaw_vm(self, vm: str) -> None:
-        """Let a paused VM go on."""
-        for process in self.of_vm(vm):
+        """Resume all processes on a VM."""
+        for process in self.processes_on_vm(vm):
             process.thaw()
 
     def starts_and_ends(self, vm: str) -> list[list[Any]]:
-        """Return each start and end on a VM, also those before its worker died."""
-        return _rows(self.folder / f"worker-{vm}.record")
+        """Return each task start and end on a VM, also from before a worker restart."""
+        return _read_rows(self.folder / f"worker-{vm}.record")
 
     def runs(self, vm: str, service: str = "booking-core") -> list[list[Any]]:
-        """Return each request run by an endpoint, also those before it died."""
-        return _rows(self.folder / f"endpoint-{vm}-{service}.record")
+        """Return each request that an endpoint ran, also from before a restart."""
+        return _read_rows(self.folder / f"endpoint-{vm}-{service}.record")
 
     def link(self, name: str, target_port: int) -> Process:
-        """Start a link to a port."""
+        """Start a link (a TCP proxy) to a port."""
         return self._add(name, "standins.link", "--target-port", str(target_port))
 
     def _start(self, entries: int, link_store: bool) -> None:
@@ -210,17 +212,18 @@
         zones = list(dict.fromkeys(vm.zone for vm in self.vm_by_name.values()))
         first, *others = range(1, entries + 1)
         self._seeds: list[str] = []
-        # Entries need no worker: the first one starts beside the stand-ins.
+        # Entries need no worker, so the first one starts with the stand-ins.
         starts = [partial(self._start_entry, first, zones)]
         for vm in self.vm_by_name.values():
             starts.append(partial(self._start_worker, vm))
             starts += [partial(self._start_endpoint, vm, s) for s in vm.services]
-        _at_once(_call, starts)
+        _run_in_parallel(_call, starts)
         self._seeds = [f"127.0.0.1:{self.entry.ready['peer_port']}"]
         starts = [partial(self._start_entry, number, zones) for number in others]
         starts += [partial(self._start_agent, vm) for vm in self.vm_by_name.values()]
-        _at_once(_call, starts)
-        # Tests that choose by number must find the same ones each time.
+        _run_in_parallel(_call, starts)
+        # Parallel starts end in any order, but tests that choose by index need a fixed
+        # order.
         self.agent_by_vm = {vm: self.agent_by_vm[vm] for vm in self.vm_by_name}
         by_node = sorted(self.entry_by_node.items(), key=lambda item: item[0])
         self.entry_by_node = dict(by_node)
@@ -287,19 +290,19 @@
             "seeds": self._seeds,
             "timing": self._timing,
         }
-        whole = shared | settings
-        path = self.folder / f"{whole['node']}.json"
-        path.write_text(json.dumps(whole))
-        process = self._add(str(whole["node"]), module, "--settings", str(path))
-        # A restart must come back on the ports that others hold as seeds.
-        ports = {name: process.ready[name] for name in whole if name.endswith("_port")}
-        path.write_text(json.dumps(whole | ports))
+        merged = shared | settings
+        path = self.folder / f"{merged['node']}.json"
+        path.write_text(json.dumps(merged))
+        process = self._add(str(merged["node"]), module, "--settings", str(path))
+        # A restarted program must use the ports that other programs have as seeds.
+        ports = {name: process.ready[name] for name in merged if name.endswith("_port")}
+        path.write_text(json.dumps(merged | ports))
         return process
 
     def _record_killed(self, vm: str) -> None:
         path = self.folder / f"worker-{vm}.record"
         running = {}
-        for _, kind, task_id, _ in _rows(path):
+        for _, kind, task_id, _ in _read_rows(path):
             running[task_id] = kind == "start"
         now = boot_time()
         with path.open("a") as file:
@@ -311,11 +314,11 @@
     start()
 
 
-def _at_once(start: Callable[[Any], None], items: Iterable[Any]) -> None:
-    with ThreadPoolExecutor(STARTS_AT_ONCE) as pool:
+def _run_in_parallel(start: Callable[[Any], None], items: Iterable[Any]) -> None:
+    with ThreadPoolExecutor(MAX_PARALLEL_STARTS) as pool:
         list(pool.map(start, items))
 
 
-def _rows(path: Path) -> list[list[Any]]:
+def _read_rows(path: Path) -> list[list[Any]]:
     lines = path.read_text().splitlines() if path.exists() else []
     return [json.loads(line) for line in lines]
--- a/standins/endpoint.py
+++ b/standins/endpoint.py
@@ -1,4 +1,8 @@
-"""A service's endpoint: counts each run, and answers as the query or faults say."""
+"""The stand-in for a service's endpoint, run as a process.
+
+It counts each request that it runs. The query and the fault switches determine the
+answer.
+"""
 
 import asyncio
 from collections import Counter
@@ -12,8 +16,8 @@
 from standins.serving import (
     RECORD_LIMIT,
     CommonFaults,
+    FaultInjectingHandler,
     FaultsHandler,
-    FaultyHandler,
     Record,
     RecordHandler,
     Switches,
@@ -22,7 +26,7 @@
 )
 from wagtailcleat.clock import boot_time
 
-BODILESS = (204, 304)
+STATUSES_WITHOUT_BODY = (204, 304)
 REQUEST_ID = "Wagtailcleat-Request-Id"
 
 
@@ -35,16 +39,16 @@
 
 
 class Runs:
-    """Counts of the requests that ran."""
+    """The requests that ran, counted by request id and by path."""
 
     def __init__(self, record: Record) -> None:
-        """Start at nothing."""
+        """Start with no request."""
         self.record = record
         self.count_by_request_id: Counter[str] = Counter()
         self.count_by_path: Counter[str] = Counter()
 
     def add(self, method: str, path: str, request_id: str) -> None:
-        """Count one run."""
+        """Count one request."""
         self.record.add(boot_time(), method, path, request_id)
         self.count_by_path[path] += 1
         if request_id:
@@ -53,7 +57,7 @@
             del self.count_by_request_id[next(iter(self.count_by_request_id))]
 
     def show(self) -> dict[str, Any]:
-        """Return what ran so far."""
+        """Return the requests that ran, as the record shows them."""
         return {
             "runs": list(self.record.rows),
             "count_by_request_id": self.count_by_request_id,
@@ -61,17 +65,17 @@
         }
 
 
-class ServiceHandler(FaultyHandler):
-    """Any method on any path."""
+class ServiceHandler(FaultInjectingHandler):
+    """Handles any method on any path."""
 
     runs: Runs
 
     async def run(self) -> None:
-        """Count the run, then answer."""
+        """Count the request, then answer."""
         request = self.request
         request_id = request.headers.get(REQUEST_ID, "")
         self.runs.add(request.method, request.path, request_id)
-        faults = self.switches.now
+        faults = self.switches.current
         delay = float(self.get_query_argument("delay", "0")) + faults.delay_seconds
         if delay:
             await asyncio.sleep(delay)
@@ -82,7 +86,7 @@
         self.set_status(faults.fail_status or wanted)
         if self.loses_answer():
             self.drop()
-        elif self.get_status() in BODILESS:
+        elif self.get_status() in STATUSES_WITHOUT_BODY:
             self.finish()
         elif faults.cut_body:
             await self._answer_half(self._body())
@@ -127,7 +131,7 @@
         self.set_header("Content-Type", "text/event-stream")
         try:
             await self.flush()
-            while not self.gone.is_set() and (not count or number < count):
+            while not self.disconnected.is_set() and (not count or number < count):
                 number += 1
                 self.write(f"id: {number}\ndata: event {number}\n\n")
                 await self.flush()
@@ -138,7 +142,7 @@
 
 
 def main(*, port: int = 0, service: str = "", record: Path | None = None) -> None:
-    """Serve the endpoint on loopback; `service` only shows in the ready line."""
+    """Serve the endpoint on loopback; `service` appears only in the ready line."""
 
     async def start() -> dict[str, Any]:
         switches = Switches(Faults)
--- a/standins/in_process_agents.py
+++ b/standins/in_process_agents.py
@@ -1,8 +1,8 @@
-"""Agents with workers and a store, all in one process on virtual time.
+"""Agents, workers and a store in one process on virtual time, for tests.
 
-The agents are built by their own composition root. Only the last step of each call
-to the store and to the worker is replaced: it goes to the stand-in's state and not
-over HTTP. A kill cancels every task that the agent began, without goodbye.
+The agents are built by the production code. Only the HTTP request to the store and to
+the worker is replaced, by a direct access to the stand-in's state. A kill cancels
+every asyncio task that the agent has started, without a shutdown.
 """
 
 import asyncio
@@ -32,40 +32,40 @@
 from wagtailcleat.wire.streams import Stream
 
 SECRET = "a secret of the tests only"
-NOWHERE = "http://127.0.0.1:1"
+UNUSED_URL = "http://127.0.0.1:1"
 WALL_START = 1_800_000_000.0
 LATENCY_SECONDS = 0.003
 TICK_SECONDS = 0.25
-CUT_SECONDS = 1.0
-KILL_ROUND_SECONDS = 0.01
+CONNECT_TIMEOUT_SECONDS = 1.0
+CANCEL_WAIT_SECONDS = 0.01
 
 _agent_name: ContextVar[str] = ContextVar("agent", default="")
 
 
 class AgentsDeployment:
-    """Agents by VM name; each VM's worker outlives its agent."""
+    """One agent and one worker for each VM; a worker outlives its agent."""
 
     def __init__(
         self, zone_by_vm: dict[str, str], size: Resources, timing: Timing, shards: int
     ) -> None:
-        """Start an agent on each VM; each VM holds `size`."""
+        """Start an agent on each VM; each VM has the capacity `size`."""
         self.loop = VirtualLoop()
-        self.loop.set_task_factory(self._new_task)
+        self.loop.set_task_factory(self._create_task)
         self.keyspace = Keyspace()
         self.zone_by_vm = zone_by_vm
         self.agent_by_vm: dict[str, Agent] = {}
         self.worker_by_vm = {vm: WorkerState(size, 0.5, Record()) for vm in zone_by_vm}
-        self.cut_off: set[str] = set()
+        self.isolated: set[str] = set()
         self.store_down = False
-        self.lost_answers = 0
-        self.lost_worker_answers = 0
+        self.store_answers_to_lose = 0
+        self.worker_answers_to_lose = 0
         self._timing = timing
         self._shards = shards
         self._starts = 0
         self._tasks_by_vm: dict[str, WeakSet[asyncio.Task[Any]]] = {}
         for vm in zone_by_vm:
             self.start(vm)
-        self.ticking = self.loop.create_task(self._tick())
+        self.ticker = self.loop.create_task(self._tick())
 
     def start(self, vm: str) -> None:
         """Start the agent of a VM."""
@@ -73,33 +73,33 @@
         self.loop.run(self._start(vm))
 
     def kill(self, vm: str) -> None:
-        """End the agent of a VM at once."""
+        """Kill the agent of a VM, without a shutdown."""
         self.loop.run(self._kill(vm))
 
     def kill_vm(self, vm: str) -> None:
-        """Let a VM fail: its agent and its tasks end at once."""
+        """Simulate a VM failure: its agent and its tasks end immediately."""
         self.kill(vm)
         worker, now = self.worker_by_vm[vm], self.loop.time()
-        worker.settle(now)
+        worker.end_due_tasks(now)
         for task in worker.running():
             worker.end(task, State.LAPSED, now)
         worker.task_by_id.clear()
 
     def stop(self, vm: str) -> None:
-        """Stop the agent of a VM as planned."""
+        """Shut down the agent of a VM gracefully."""
         self.loop.run(self.agent_by_vm[vm].stop())
         self.kill(vm)
 
     def pass_time(self, seconds: float) -> None:
-        """Let virtual time pass."""
+        """Advance virtual time by `seconds`."""
         self.loop.pass_time(seconds)
 
     def adopt(self, configuration: Configuration) -> None:
-        """Put an accepted configuration in force at all agents not cut off."""
+        """Apply an accepted configuration at all agents that are not isolated."""
         self.loop.run(self._adopt(configuration))
 
     def order(self, vm: str, shard: int, message: AnyMessage) -> AnyMessage | Lost:
-        """Send a caller's order to the shard's owner, through the agent of a VM."""
+        """Send a caller's message to the shard's owner through the agent of a VM."""
         node = self.agent_by_vm[vm].node
         owner = node.view.owner(shard)  # type: ignore[arg-type]
         if owner is None:
@@ -108,14 +108,12 @@
         return self.loop.run(call)
 
     def close(self) -> None:
-        """End everything."""
+        """Kill all agents and close the event loop."""
         for vm in list(self.agent_by_vm):
             self.kill(vm)
         self.loop.end()
 
-    # ---- agents
-
-    def _new_task(
+    def _create_task(
         self, loop: Any, work: Coroutine[Any, Any, Any], **options: Any
     ) -> Any:
         task = asyncio.Task(work, loop=loop, **options)
@@ -130,8 +128,8 @@
             vm=vm,
             zone=self.zone_by_vm[vm],
             secret=SECRET,
-            store=[NOWHERE],
-            worker=NOWHERE,
+            store=[UNUSED_URL],
+            worker=UNUSED_URL,
             seeds=[f"{me.host}:{me.port}" for me in seeds],
             timing=self._timing,
             shards=self._shards,
@@ -144,19 +142,19 @@
         )
         self._replace_store(agent.node.store)
         self._replace_worker(agent.worker, self.worker_by_vm[vm])
-        self._install_cut(vm, agent)
+        self._install_isolation(vm, agent)
         self.agent_by_vm[vm] = agent
         agent.start()
 
     async def _kill(self, vm: str) -> None:
         agent = self.agent_by_vm.pop(vm)
-        mine = [task for task in self._tasks_by_vm.pop(vm, ()) if not task.done()]
-        mine = [task for task in mine if task is not asyncio.current_task()]
-        while mine:
-            for task in mine:
+        own_tasks = [task for task in self._tasks_by_vm.pop(vm, ()) if not task.done()]
+        own_tasks = [task for task in own_tasks if task is not asyncio.current_task()]
+        while own_tasks:
+            for task in own_tasks:
                 task.cancel()
-            _, left = await asyncio.wait(mine, timeout=KILL_ROUND_SECONDS)
-            mine = list(left)
+            _, left = await asyncio.wait(own_tasks, timeout=CANCEL_WAIT_SECONDS)
+            own_tasks = list(left)
         node = agent.node
         node.listener.stop()
         for stream in [*node.peers.streams, *node.listener.streams]:
@@ -164,26 +162,26 @@
 
     async def _adopt(self, configuration: Configuration) -> None:
         for vm, agent in self.agent_by_vm.items():
-            if vm not in self.cut_off:
+            if vm not in self.isolated:
                 node = agent.node
                 if node.in_force.adopt(configuration, self.loop.time()):
                     node.gossiper.configuration_changed()
 
-    def cut(self, vm: str) -> None:
-        """Cut an agent off from all others, but not from worker and store."""
-        self.cut_off.add(vm)
+    def isolate(self, vm: str) -> None:
+        """Isolate an agent from all others, but not from its worker or the store."""
+        self.isolated.add(vm)
         for agent in self.agent_by_vm.values():
             for stream in [*agent.node.peers.streams, *agent.node.listener.streams]:
                 if vm in (stream.peer.removeprefix("agent-"), agent.node.view.me.vm):
                     stream.close("cut")
 
-    def _install_cut(self, vm: str, agent: Agent) -> None:
+    def _install_isolation(self, vm: str, agent: Agent) -> None:
         open_stream = agent.node.peers.stream
 
         async def stream(host: str, port: int) -> Stream | Lost:
             found = [v for v, a in self.agent_by_vm.items() if _port(a) == port]
-            if found != [vm] and self.cut_off & {vm, *found}:
-                await asyncio.sleep(CUT_SECONDS)
+            if found != [vm] and self.isolated & {vm, *found}:
+                await asyncio.sleep(CONNECT_TIMEOUT_SECONDS)
                 return Lost(False, "cut")
             return await open_stream(host, port)
 
@@ -194,11 +192,9 @@
             now = self.loop.time()
             self.keyspace.expire(now)
             for worker in self.worker_by_vm.values():
-                worker.settle(now)
+                worker.end_due_tasks(now)
             await asyncio.sleep(TICK_SECONDS)
 
-    # ---- the store
-
     def _replace_store(self, store: Store) -> None:
         async def call(path: str, body: dict[str, Any], bucket: Any) -> Any:
             await asyncio.sleep(LATENCY_SECONDS)
@@ -208,8 +204,8 @@
             answer, wrote = self._store_answer(path, body)
             store._circuit.succeeded()
             await asyncio.sleep(LATENCY_SECONDS)
-            if wrote and self.lost_answers:
-                self.lost_answers -= 1
+            if wrote and self.store_answers_to_lose:
+                self.store_answers_to_lose -= 1
                 return Unknown("the answer was lost")
             return answer
 
@@ -235,8 +231,6 @@
             keyspace.revoke(int(body["ID"]), "revoke")
         return {}, False
 
-    # ---- the workers
-
     def _replace_worker(self, worker: Worker, state: WorkerState) -> None:
         async def call(
             method: str, path: str, body: dict[str, Any] | None = None
@@ -244,8 +238,8 @@
             await asyncio.sleep(LATENCY_SECONDS)
             answer = self._worker_answer(state, method, path, body or {})
             await asyncio.sleep(LATENCY_SECONDS)
-            if method != "GET" and self.lost_worker_answers:
-                self.lost_worker_answers -= 1
+            if method != "GET" and self.worker_answers_to_lose:
+                self.worker_answers_to_lose -= 1
                 return WorkerUnreachable("the answer was lost")
             return answer
 
@@ -255,16 +249,16 @@
         self, state: WorkerState, method: str, path: str, body: dict[str, Any]
     ) -> Any:
         now = self.loop.time()
-        state.settle(now)
+        state.end_due_tasks(now)
         parts = path.strip("/").split("/")
         if path == "/capacity":
             return msgspec.structs.asdict(state.capacity)
         if path == "/tasks":
-            return {"tasks": [task.shown() for task in state.task_by_id.values()]}
+            return {"tasks": [task.to_dict() for task in state.task_by_id.values()]}
         if path == "/usage":
             return msgspec.to_builtins(state.usage(now))
         if path == "/leases":
-            return _lengthen(state, body["lease_until_by_id"])
+            return _extend_leases(state, body["lease_until_by_id"])
         task = state.task_by_id.get(parts[1])
         if method == "PUT" and task is None:
             if body["lease_until"] <= now:
@@ -277,10 +271,10 @@
         elif parts[-1] == "stop" and task.state is State.RUNNING:
             task.take_checkpoint(now)
             state.end(task, State.STOPPED, now)
-        return task.shown()
+        return task.to_dict()
 
 
-def _lengthen(state: WorkerState, until_by_id: dict[str, float]) -> dict[str, Any]:
+def _extend_leases(state: WorkerState, until_by_id: dict[str, float]) -> dict[str, Any]:
     for task_id, until in until_by_id.items():
         task = state.task_by_id.get(task_id)
         if task is not None and task.state is State.RUNNING:
--- a/standins/in_process_nodes.py
+++ b/standins/in_process_nodes.py
@@ -1,4 +1,7 @@
-"""Nodes of one deployment in one process, on virtual time, with cuts between them."""
+"""Nodes of one deployment in one process on virtual time, with network partitions.
+
+Tests of membership and configuration use it.
+"""
 
 import asyncio
 import random
@@ -22,24 +25,24 @@
 
 
 class Deployment:
-    """Gossiping nodes; those named `entry-…` follow the store."""
+    """Nodes that gossip; those named `entry…` also follow the configuration store."""
 
     def __init__(self) -> None:
         """Start with an empty store and no node."""
         self.loop = VirtualLoop()
         self.keyspace = Keyspace()
-        self.keyspace.on_commit = lambda events, cause: self._committed()
+        self.keyspace.on_commit = lambda events, cause: self._on_commit()
         self.node_by_name: dict[str, Node] = {}
         self.store_by_name: dict[str, InProcessStore] = {}
-        self.seen_by_name: dict[str, list[Configuration]] = {}
+        self.configurations_by_start: dict[str, list[Configuration]] = {}
         self.cuts: set[frozenset[str]] = set()
         self.store_down = False
-        self.paused_by_name: dict[str, float] = {}
+        self.paused_seconds_by_name: dict[str, float] = {}
         self._side_by_name: dict[str, int] = {}
         self._starts = 0
 
     def start(self, name: str, seeds: list[str]) -> Node:
-        """Start a node that knows the addresses of `seeds`."""
+        """Start a node that knows the addresses of the nodes named in `seeds`."""
         self._starts += 1
         return self.loop.run(self._start(name, seeds))
 
@@ -64,11 +67,11 @@
             settings,
             Role.ENTRY if is_entry else Role.AGENT,
             vm="" if is_entry else f"vm-{name}",
-            clock=lambda: loop.time() + self.paused_by_name.get(name, 0.0),
+            clock=lambda: loop.time() + self.paused_seconds_by_name.get(name, 0.0),
             wall_clock=lambda: WALL_START + starts + loop.time(),
         )
-        self._install_cuts(name, node)
-        self._watch(name, node)
+        self._install_partition(name, node)
+        self._record_configurations(name, node)
         if is_entry:
             self._follow(name, node)
         node.start()
@@ -76,7 +79,7 @@
         return node
 
     def stop(self, name: str) -> None:
-        """Kill a node: no goodbye, its sockets closed."""
+        """Kill a node: close its sockets without announcing that it leaves."""
         node = self.node_by_name.pop(name)
         self.loop.run(self._kill(node))
 
@@ -88,60 +91,62 @@
             stream.close("killed")
 
     def pause(self, name: str, seconds: float) -> None:
-        """Let a node's clock go on as if the node had stood still for `seconds`."""
-        self.paused_by_name[name] = self.paused_by_name.get(name, 0.0) + seconds
+        """Advance a node's clock as if the node had been paused for `seconds`."""
+        self.paused_seconds_by_name[name] = (
+            self.paused_seconds_by_name.get(name, 0.0) + seconds
+        )
 
-    def cut(self, side: set[str]) -> None:
-        """Cut the network in two: `side` and the rest can't reach each other."""
+    def partition(self, side: set[str]) -> None:
+        """Partition the network between the nodes in `side` and the rest."""
         for name in self.node_by_name:
             self._side_by_name[name] = 1 if name in side else 0
         for name, node in self.node_by_name.items():
             for stream in [*node.peers.streams, *node.listener.streams]:
-                if not self._reaches(name, str(stream.peer)):
+                if not self._is_reachable(name, str(stream.peer)):
                     stream.close("cut")
 
     def heal(self) -> None:
-        """End the cut."""
+        """End the partition."""
         self._side_by_name.clear()
 
     def pass_time(self, seconds: float) -> None:
-        """Let virtual time pass."""
+        """Advance virtual time by `seconds`."""
         self.loop.pass_time(seconds)
 
     def close(self) -> None:
-        """Stop everything."""
+        """Kill all nodes and close the event loop."""
         for name in list(self.node_by_name):
             self.stop(name)
         self.loop.end()
 
-    def _committed(self) -> None:
+    def _on_commit(self) -> None:
         for store in self.store_by_name.values():
             store.changed.set()
 
-    def _reaches(self, one: str, other: str) -> bool:
+    def _is_reachable(self, one: str, other: str) -> bool:
         sides = self._side_by_name
         return sides.get(one, 0) == sides.get(other, 0)
 
-    def _install_cuts(self, name: str, node: Node) -> None:
+    def _install_partition(self, name: str, node: Node) -> None:
         open_stream = node.peers.stream
 
         async def stream(host: str, port: int) -> Stream | Lost:
-            other = self._at(port)
-            if other is not None and not self._reaches(name, other):
+            other = self._name_at_port(port)
+            if other is not None and not self._is_reachable(name, other):
                 await asyncio.sleep(1.0)
                 return Lost(False, "cut")
             return await open_stream(host, port)
 
         node.peers.stream = stream  # type: ignore[method-assign]
 
-    def _at(self, port: int) -> str | None:
+    def _name_at_port(self, port: int) -> str | None:
         found = (
             n for n, node in self.node_by_name.items() if node.view.me.port == port
         )
         return next(found, None)
 
-    def _watch(self, name: str, node: Node) -> None:
-        seen = self.seen_by_name.setdefault(f"{name}/{self._starts}", [])
+    def _record_configurations(self, name: str, node: Node) -> None:
+        seen = self.configurations_by_start.setdefault(f"{name}/{self._starts}", [])
         node.gossiper.on_configuration(lambda: seen.append(node.in_force.configuration))
 
     def _follow(self, name: str, node: Node) -> None:
--- a/standins/in_process_store.py
+++ b/standins/in_process_store.py
@@ -1,4 +1,4 @@
-"""The store stand-in without its port, for runs on virtual time."""
+"""A store client that reads a keyspace directly, for nodes on virtual time."""
 
 import asyncio
 from collections.abc import Callable
@@ -25,10 +25,10 @@
 
 
 class InProcessStore:
-    """Answers as `wagtailcleat.platform.store.Store` does, from one keyspace."""
+    """Has the interface of `wagtailcleat.platform.store.Store`, on one keyspace."""
 
     def __init__(self, keyspace: Keyspace) -> None:
-        """Start without faults."""
+        """Use `keyspace`, without faults."""
         self.keyspace = keyspace
         self.changed = asyncio.Event()
         self.down = False
@@ -54,7 +54,7 @@
         return Listing(found, self.keyspace.revision)
 
     async def write(self, txn: Txn) -> Written | Conflict | Unknown | Unavailable:
-        """Carry out `txn`."""
+        """Execute `txn`; return `Unknown` for an answer that is to be lost."""
         await asyncio.sleep(LATENCY_SECONDS)
         if self.down:
             return Unavailable("down")
--- a/standins/keyspace.py
+++ b/standins/keyspace.py
@@ -1,4 +1,4 @@
-"""The keys, leases and history behind the store stand-in, in memory."""
+"""The keys, leases and history of the store stand-ins, in memory."""
 
 import secrets
 from bisect import bisect_left, insort
@@ -11,7 +11,7 @@
 
 
 class KeyValue(msgspec.Struct):
-    """One key as it stands."""
+    """The current version of one key."""
 
     key: bytes
     value: bytes
@@ -28,7 +28,7 @@
 
     @property
     def is_delete(self) -> bool:
-        """Tell whether the key was deleted."""
+        """Whether the key was deleted."""
         return self.kv.version == 0
 
 
@@ -41,14 +41,14 @@
 
 
 def in_range(key: bytes, start: bytes, end: bytes) -> bool:
-    """Tell whether `key` is in the range; no `end` means the one key `start`."""
+    """Return whether `key` is in the range; without `end` it is the key `start`."""
     if not end:
         return key == start
     return key >= start and (end == b"\0" or key < end)
 
 
 class Keyspace:
-    """Keys under revisions, with leases and the history that watches read."""
+    """Versioned keys, with leases and the history that watches read."""
 
     def __init__(self) -> None:
         """Start empty, at revision 1."""
@@ -61,7 +61,7 @@
         self._history: deque[Event] = deque()
 
     def get(self, key: bytes) -> KeyValue | None:
-        """Return the key as it stands, if it does."""
+        """Return the current version of the key, or `None` if it does not exist."""
         return self._kv_by_key.get(key)
 
     def range(self, start: bytes, end: bytes) -> list[KeyValue]:
@@ -74,7 +74,7 @@
         return [self._kv_by_key[key] for key in self._keys[first:last]]
 
     def put(self, key: bytes, value: bytes, lease: int) -> Event:
-        """Put a key at the next revision; `commit` makes that revision stand."""
+        """Put a key at the next revision, which `commit` makes current."""
         old = self._kv_by_key.get(key)
         revision = self.revision + 1
         created = old.create_revision if old else revision
@@ -90,11 +90,11 @@
         return Event(kv)
 
     def delete(self, start: bytes, end: bytes) -> list[Event]:
-        """Delete a range at the next revision; `commit` makes that revision stand."""
+        """Delete a range at the next revision, which `commit` makes current."""
         return [self._delete(kv) for kv in self.range(start, end)]
 
     def commit(self, events: list[Event], cause: str) -> None:
-        """Make the next revision stand, if anything changed."""
+        """Make the next revision current and record its events, if there are any."""
         if not events:
             return
         self.revision += 1
@@ -104,17 +104,17 @@
         self.on_commit(events, cause)
 
     def since(self, revision: int) -> list[Event]:
-        """Return the history from `revision` on."""
+        """Return the events from `revision` on."""
         return [event for event in self._history if event.kv.mod_revision >= revision]
 
     def grant(self, ttl: int, now: float) -> int:
-        """Grant a lease and return its id."""
+        """Grant a lease of `ttl` seconds and return its id."""
         lease_id = secrets.randbits(62) | 1
         self.lease_by_id[lease_id] = Lease(ttl, now + ttl)
         return lease_id
 
     def keep_alive(self, lease_id: int, now: float) -> int:
-        """Renew a lease; return its TTL, or 0 where it is gone."""
+        """Renew a lease; return its TTL in seconds, or 0 if it does not exist."""
         self.expire(now)
         lease = self.lease_by_id.get(lease_id)
         if lease is None:
@@ -123,19 +123,19 @@
         return lease.ttl
 
     def revoke(self, lease_id: int, cause: str) -> None:
-        """End a lease and delete its keys."""
+        """Delete a lease and its keys."""
         lease = self.lease_by_id.pop(lease_id)
         found = (self._kv_by_key.get(key) for key in sorted(lease.keys))
         self.commit([self._delete(kv) for kv in found if kv], cause)
 
     def expire(self, now: float) -> None:
-        """Revoke the leases that have run out."""
+        """Revoke the leases that have expired by `now`."""
         due = [i for i, lease in self.lease_by_id.items() if lease.expires_at <= now]
         for lease_id in due:
             self.revoke(lease_id, "lease")
 
     def refresh_leases(self, now: float) -> None:
-        """Give each lease its whole TTL again, as a new leader does."""
+        """Renew each lease for its full TTL, as a new leader of the store does."""
         for lease in self.lease_by_id.values():
             lease.expires_at = now + lease.ttl
 
--- a/standins/link.py
+++ b/standins/link.py
@@ -1,4 +1,4 @@
-"""A TCP link between a listening port and a target that can fail as networks do."""
+"""A TCP proxy, called a link, that injects network faults between two processes."""
 
 import asyncio
 import socket
@@ -22,18 +22,18 @@
 )
 
 CHUNK_BYTES = 65_536
-CHUNKS_WAITING = 64
+MAX_QUEUED_CHUNKS = 64
 
 
 class Faults(msgspec.Struct, forbid_unknown_fields=True):
     """Fault switches of the link.
 
-    `silent` and `cut` act once, on the connections open at that moment: the first
-    swallows their bytes for good, the second closes them. `silent_new` swallows
-    those of every connection. `hold` keeps bytes back and delivers them on release.
-    While `refuse` is set nobody listens, so that new connections are refused.
-    `reset_from` resets the connections of peers that name themselves so in their
-    first bytes, new ones too.
+    `silent` and `cut` act once, on the connections open at that moment: `silent`
+    discards all their further bytes, `cut` closes them. `silent_new` discards the
+    bytes of open and of new connections. `hold` delays bytes until it is reset. While
+    `refuse` is set the link does not listen, so that new connections are refused.
+    `reset_from` resets the open and new connections of clients whose first bytes
+    contain one of these names.
     """
 
     silent: bool = False
@@ -46,15 +46,15 @@
 
 
 class Connection:
-    """One relayed connection: its two streams, and whether it has gone silent."""
+    """One relayed connection: its two streams, and whether its bytes are discarded."""
 
     def __init__(self, client: IOStream, server: IOStream) -> None:
-        """Take both streams."""
+        """Relay between `client` and `server`."""
         self.client = client
         self.server = server
         self.silent = False
-        self.opening = b""
-        """The first bytes of the client."""
+        self.first_bytes = b""
+        """The first chunk that the client sent."""
 
     def close(self) -> None:
         """Close both sides."""
@@ -62,7 +62,7 @@
         self.server.close()
 
     def reset(self) -> None:
-        """Close both sides with a reset in place of a goodbye."""
+        """Close both sides with a TCP reset instead of a FIN."""
         for stream in (self.client, self.server):
             if not stream.closed():
                 stream.socket.setsockopt(
@@ -71,12 +71,12 @@
         self.close()
 
     def is_from(self, names: list[str]) -> bool:
-        """Tell whether the client named itself as one of these."""
-        return any(name.encode() in self.opening for name in names)
+        """Return whether the client's first bytes contain one of `names`."""
+        return any(name.encode() in self.first_bytes for name in names)
 
 
 class _Listener(TCPServer):
-    """Accepts for a link while it listens; one that has stopped is not used again."""
+    """Accepts connections for a link; it is not reused once stopped."""
 
     def __init__(self, link: "Link", sockets: list[socket.socket]) -> None:
         super().__init__()
@@ -84,17 +84,17 @@
         self.add_sockets(sockets)
 
     async def handle_stream(self, stream: IOStream, address: Any) -> None:
-        """Let the link relay it."""
+        """Pass the connection to the link."""
         await self._link.relay(stream)
 
 
 class Link:
-    """All state of the link."""
+    """A listening port whose connections are relayed to a target."""
 
     def __init__(
         self, host: str, port: int, target_port: int, target_host: str = HOST
     ) -> None:
-        """Relay to a port on loopback."""
+        """Listen on `host` and `port` and relay to the target."""
         sockets = bind_sockets(port, host)
         self.host = host
         self.port = int(sockets[0].getsockname()[1])
@@ -102,7 +102,7 @@
         self.target_port = target_port
         self.target_host = target_host
         self.switches = Switches(Faults)
-        self.switches.on_change = self._switched
+        self.switches.on_change = self._on_switches_change
         self.connections: set[Connection] = set()
         self.opened = 0
         self.relayed_bytes = 0
@@ -111,7 +111,7 @@
         self._released.set()
 
     def show(self) -> dict[str, Any]:
-        """Return what happened so far."""
+        """Return the counts of connections and bytes, as the record shows them."""
         return {
             "open": len(self.connections),
             "opened": self.opened,
@@ -129,7 +129,7 @@
         stream.set_nodelay(True)
         server.set_nodelay(True)
         connection = Connection(stream, server)
-        connection.silent = self.switches.now.silent_new
+        connection.silent = self.switches.current.silent_new
         self.connections.add(connection)
         self.opened += 1
         try:
@@ -144,22 +144,22 @@
     async def _relay(
         self, connection: Connection, source: IOStream, target: IOStream
     ) -> None:
-        queue: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(CHUNKS_WAITING)
+        queue: asyncio.Queue[tuple[float, bytes]] = asyncio.Queue(MAX_QUEUED_CHUNKS)
         delivery = asyncio.create_task(self._deliver(connection, queue, target))
         try:
             while True:
                 chunk = await source.read_bytes(CHUNK_BYTES, partial=True)
-                if source is connection.client and not connection.opening:
-                    connection.opening = chunk
-                    if connection.is_from(self.switches.now.reset_from):
+                if source is connection.client and not connection.first_bytes:
+                    connection.first_bytes = chunk
+                    if connection.is_from(self.switches.current.reset_from):
                         connection.reset()
-                await queue.put((self._due(), chunk))
+                await queue.put((self._delivery_time(), chunk))
         except StreamClosedError:
-            await queue.put((self._due(), b""))
+            await queue.put((self._delivery_time(), b""))
         await delivery
 
-    def _due(self) -> float:
-        delay = self.switches.now.delay_seconds
+    def _delivery_time(self) -> float:
+        delay = self.switches.current.delay_seconds
         return asyncio.get_running_loop().time() + delay
 
     async def _deliver(
@@ -188,7 +188,7 @@
         except StreamClosedError:
             return
 
-    def _switched(self, before: Faults, after: Faults) -> None:
+    def _on_switches_change(self, before: Faults, after: Faults) -> None:
         for connection in list(self.connections):
             if after.cut:
                 connection.close()
@@ -219,7 +219,7 @@
     port: int = 0,
     control_port: int = 0,
 ) -> None:
-    """Relay from a loopback port to a loopback port."""
+    """Relay from `host` and `port` to the target; serve faults on `control_port`."""
 
     async def start() -> dict[str, Any]:
         link = Link(host, port, target_port, target_host)
--- a/standins/platform_cluster.py
+++ b/standins/platform_cluster.py
@@ -1,7 +1,7 @@
-"""A deployment on stand-ins of the platform: real entries and agents, real ports.
+"""A deployment of real entries and agents on stand-ins for the platform.
 
-Every node has a loopback address of its own, so that all share one peer port, as on
-the users' machines.
+The tests and the soak runs use it. Every node has a loopback address of its own, so
+that all nodes use the same peer port, as on the users' machines.
 """
 
 import json
@@ -18,21 +18,21 @@
 ZONES = ("zilina-a", "zilina-b", "martin-a")
 HOST = "seats.example"
 PREFIX = "/holds/"
-ADVISED = {"hint": {"decideMs": 1, "periodMs": 1, "validMs": 3000}}
+ADVICE_HINT = {"hint": {"decideMs": 1, "periodMs": 1, "validMs": 3000}}
 READY_SECONDS = 15.0
 NETWORK = f"127.{16 + os.getpid() % 224}"
-"""Loopback network of this test run: ports that one run has found free and not bound
-yet, or gave up for a restart, can't be taken by another run beside it."""
-STARTS_AT_ONCE = 4
-STARTED = "process: Started"
+"""The loopback network of this test run. A concurrent run uses another one, so it can't
+take ports that this run has found free but not bound yet, or released for a restart."""
+MAX_PARALLEL_STARTS = 4
+STARTED_MESSAGE = "process: Started"
 
 
 class Program(Process):
-    """One of the project's programs; ready once it has said that it started."""
+    """One of the project's programs; ready once it has logged that it started."""
 
     def _ready_line(self) -> dict[str, Any] | None:
         for line in self._stdout.read_text().splitlines():
-            if STARTED in line:
+            if STARTED_MESSAGE in line:
                 shown: dict[str, Any] = json.loads(line)
                 return shown
         if not self.alive:
@@ -40,7 +40,7 @@
         return None
 
     def log_lines(self) -> list[dict[str, Any]]:
-        """Return the lines written since the last start."""
+        """Return the log lines since the last start."""
         lines = self._stdout.read_text().splitlines()
         return [json.loads(line) for line in lines if line.startswith("{")]
 
@@ -57,9 +57,9 @@
         cores: float = 8.0,
         speeds: tuple[float, ...] = (),
     ) -> None:
-        """Start everything; the queue `holds` is open.
+        """Start all processes, with the queue `holds` configured.
 
-        Parameters: `cores` of each worker; `speeds` of the entries' processors.
+        Parameters: `cores` of each worker; `speeds`, the `cpu_speed` of each entry.
         """
         self.folder = folder
         self.speeds = speeds
@@ -72,13 +72,16 @@
         self.configure(version=1)
         hosts = [host_of(number) for number in range(1, entries + agents + 1)]
         self.seeds = [f"{host}:1" for host in hosts[:entries]]
-        with ThreadPoolExecutor(STARTS_AT_ONCE) as pool:
+        with ThreadPoolExecutor(MAX_PARALLEL_STARTS) as pool:
             started = [
-                pool.submit(self._entry, number, host)
+                pool.submit(self._start_entry, number, host)
                 for number, host in enumerate(hosts[:entries])
             ]
             on_vms = [
-                (pool.submit(self._agent, n, host), pool.submit(self._worker, n, host))
+                (
+                    pool.submit(self._start_agent, n, host),
+                    pool.submit(self._start_worker, n, host),
+                )
                 for n, host in enumerate(hosts[entries:])
             ]
             self.entries += [entry.result() for entry in started]
@@ -87,20 +90,22 @@
 
     @property
     def processes(self) -> list[Process]:
-        """All processes, those of the platform first."""
+        """All processes, the stand-ins for the platform first."""
         return [self.store, *self.workers, *self.agents, *self.entries]
 
     def close(self) -> None:
-        """End every process."""
+        """Kill every process."""
         for process in reversed(self.processes):
             process.kill()
 
-    def _program(self, name: str, module: str, settings: dict[str, Any]) -> Program:
+    def _start_program(
+        self, name: str, module: str, settings: dict[str, Any]
+    ) -> Program:
         path = self.folder / f"{name}.json"
         path.write_text(json.dumps(settings))
         return Program(name, self.folder, module, [str(path)])
 
-    def _shared(self, name: str, number: int, host: str) -> dict[str, Any]:
+    def _common_settings(self, name: str, number: int, host: str) -> dict[str, Any]:
         peer, metrics, *_ = self.ports
         return {
             "node": name,
@@ -114,37 +119,35 @@
             "grace": 4.0,
         }
 
-    def _entry(self, number: int, host: str) -> Program:
+    def _start_entry(self, number: int, host: str) -> Program:
         name = f"entry-{number + 1}"
         front, ready = self.ports[2:4]
-        more: dict[str, Any] = {
+        extra: dict[str, Any] = {
             "front": f"{host}:{front}",
             "ready": f"{host}:{ready}",
         }
-        more["store"] = f"{store_host(number)}:{self.store.ready['port']}"
-        more["advice"] = more["store"]
+        extra["store"] = f"{store_host(number)}:{self.store.ready['port']}"
+        extra["advice"] = extra["store"]
         if self.speeds:
-            more["cpu_speed"] = self.speeds[number]
-        settings = self._shared(name, number, host) | more
-        return self._program(name, "wagtailcleat.cluster.entry_app", settings)
+            extra["cpu_speed"] = self.speeds[number]
+        settings = self._common_settings(name, number, host) | extra
+        return self._start_program(name, "wagtailcleat.cluster.entry_app", settings)
 
-    def _agent(self, number: int, host: str) -> Program:
+    def _start_agent(self, number: int, host: str) -> Program:
         name = f"agent-{number + 1}"
-        more = {"control": f"{host}:{self.ports[4]}"}
-        settings = self._shared(name, number, host) | more
-        return self._program(name, "wagtailcleat.cluster.agent_app", settings)
+        extra = {"control": f"{host}:{self.ports[4]}"}
+        settings = self._common_settings(name, number, host) | extra
+        return self._start_program(name, "wagtailcleat.cluster.agent_app", settings)
 
-    def _worker(self, number: int, host: str) -> Process:
+    def _start_worker(self, number: int, host: str) -> Process:
         arguments = ["--instance", f"i-{number + 1}", "--cores", str(self.cores)]
         arguments += ["--control", f"{host}:{self.ports[4]}"]
         arguments += ["--zone", ZONES[number % len(ZONES)]]
         name = f"worker-{number + 1}"
         return Process(name, self.folder, "standins.platform_worker", arguments)
 
-    # ---- operators
-
     def configure(self, *, version: int, queues: tuple[str, ...] = ("holds",)) -> None:
-        """Write a configuration as the operator does."""
+        """Write a configuration with the rights of an operator."""
         routes = [
             {
                 "name": name,
@@ -156,16 +159,16 @@
                 "stretch": 2.0,
                 "targetLatencyMs": 500,
             }
-            | (ADVISED if name.startswith("advised") else {})
+            | (ADVICE_HINT if name.startswith("advised") else {})
             for name in queues
         ]
         value = {"version": version, "routes": routes, "services": [], "limits": {}}
-        self.operate({"op/config": value})
+        self.write_as_operator({"op/config": value})
 
-    def operate(
+    def write_as_operator(
         self, value_by_key: dict[str, Any], remove: tuple[str, ...] = ()
     ) -> None:
-        """Write and remove keys as the operator does."""
+        """Write and remove keys with the rights of an operator."""
         puts = [
             {"key": key, "value": b64encode(json.dumps(value).encode()).decode()}
             for key, value in value_by_key.items()
@@ -176,22 +179,20 @@
         assert answer.status == 200, answer
 
     def stored(self, prefix: str) -> dict[str, bytes]:
-        """Return what is stored under a prefix."""
+        """Return the stored values under a prefix, by key."""
         answer = http("GET", f"{self.store.url}/kv-range?prefix={prefix}")
         items = answer.json()["items"]
         return {item["key"]: b64decode(item["value"]) for item in items}
 
-    # ---- callers
-
     def url(self, entry: int) -> str:
-        """Return an entry's address for callers."""
+        """Return the base URL of an entry for callers."""
         host = host_of(entry + 1)
         return f"http://{host}:{self.ports[2]}"
 
     def call(
         self, method: str, path: str, body: Any = None, *, entry: int = 0
     ) -> tuple[int, Any]:
-        """Call an entry; status 0 means that no answer came."""
+        """Call an entry; return status and body, with status 0 if no answer came."""
         try:
             answer = http(
                 method,
@@ -204,8 +205,8 @@
             return 0, None
         return answer.status, answer.json() if answer.body else None
 
-    def until_open(self) -> None:
-        """Wait until every entry has the configuration and every agent its worker."""
+    def wait_until_ready(self) -> None:
+        """Wait until every entry serves the queue and the leader knows all agents."""
         for number in range(len(self.entries)):
             wait_for(
                 lambda n=number: self.call("GET", PREFIX, entry=n)[0] == 200,
@@ -226,7 +227,7 @@
         prefix: str = PREFIX,
         **spec: Any,
     ) -> str:
-        """Hand in a job until it is accepted; return its id."""
+        """Submit a job, with retries, until it is accepted; return its id."""
         job = secrets.token_hex(8)
         body = {"spec": json.dumps(spec), "steps": steps}
         wait_for(
@@ -237,33 +238,31 @@
         return job
 
     def state(self, job: str, *, entry: int = 0, prefix: str = PREFIX) -> str:
-        """Return a job's state; empty while no entry tells."""
+        """Return a job's state; empty if the entry does not answer 200."""
         status, body = self.call("GET", prefix + job, entry=entry)
         return str(body["state"]) if status == 200 else ""
 
-    def until_state(
+    def wait_for_state(
         self, job: str, state: str, *, entry: int = 0, timeout: float = 20.0
     ) -> None:
-        """Wait until a job is shown in a state."""
+        """Wait until an entry reports that a job is in `state`."""
         wait_for(
             lambda: self.state(job, entry=entry) == state,
             timeout,
             f"job {job} is {state}",
         )
 
-    # ---- what really happened
-
     def rows(self) -> list[list[Any]]:
-        """Return starts and ends at all workers, in order of time."""
+        """Return the record rows of all workers, ordered by time."""
         rows = [row for worker in self.workers for row in worker.record()["rows"]]
         return sorted(rows, key=lambda row: row[1])
 
     def starts(self, job: str) -> list[str]:
-        """Return the names of the tasks of a job that were started."""
+        """Return the task names of a job, one for each start."""
         return [r[3] for r in self.rows() if r[0] == "start" and r[3].startswith(job)]
 
     def overlaps(self) -> list[Any]:
-        """Return the tasks of which two runs went on at the same time."""
+        """Return the pairs of runs of one task that ran at the same time."""
         running: dict[str, int] = {}
         found = []
         for kind, _, instance, task, run, _ in self.rows():
@@ -276,7 +275,7 @@
         return found
 
     def leader(self) -> Program:
-        """Return the entry that leads."""
+        """Wait until an entry leads, and return it."""
 
         def find() -> Program | None:
             for entry in self.entries:
@@ -295,17 +294,17 @@
 
 
 def store_host(entry: int) -> str:
-    """Return the store's address that only one entry uses, of the first two."""
+    """Return the store's address that is reserved for one of the first two entries."""
     return f"127.0.2.{entry + 1}"
 
 
 def host_of(number: int) -> str:
-    """Return the address of a node."""
+    """Return the loopback address of a node."""
     return f"{NETWORK}.1.{number}"
 
 
 def free_ports(count: int, host: str = "") -> list[int]:
-    """Return ports that nobody listens on now, on `host` or the first node's."""
+    """Return ports that are free now on `host`, by default that of the first node."""
     host = host or host_of(1)
     sockets = [socket.socket() for _ in range(count)]
     try:
--- a/standins/platform_store.py
+++ b/standins/platform_store.py
@@ -1,7 +1,8 @@
-"""The platform's key-value store, as its published pages describe it.
+"""The stand-in for the platform's key-value store, after the platform's documentation.
 
-It counts every entry of a transaction against the limit, and can lose answers, carry
-writes out late, refuse, stay silent and forget its history.
+It runs as a process. Conditions, puts and removals of a transaction all count towards
+its limit. Its fault switches lose answers, delay writes, refuse calls and stall
+answers; it can also forget its history.
 """
 
 import asyncio
@@ -16,8 +17,8 @@
 from standins.keyspace import Keyspace, KeyValue
 from standins.serving import (
     CommonFaults,
+    FaultInjectingHandler,
     FaultsHandler,
-    FaultyHandler,
     Record,
     RecordHandler,
     Switches,
@@ -28,62 +29,66 @@
 MAX_ENTRIES = 32
 MAX_PAGE = 500
 MAX_PAGE_BYTES = 1_000_000
-PART_SECONDS = 0.05
-"""Between two parts of an answer that leaves slowly."""
+CHUNK_INTERVAL_SECONDS = 0.05
+"""Between two chunks of an answer whose rate is limited."""
 MAX_WAIT_SECONDS = 30.0
 MILLISECONDS = 1000
-OWN_HOSTS = ("127.0.2.1", "127.0.2.2")
-"""Addresses for the first two entries alone, so that one can be turned away."""
-OPERATORS = ("op/", "servers/")
+ENTRY_HOSTS = ("127.0.2.1", "127.0.2.2")
+"""Addresses each used by one of the first two entries, so that one can be refused."""
+OPERATOR_PREFIXES = ("op/", "servers/")
 
 
 class Faults(CommonFaults):
     """Fault switches of the store."""
 
     busy: bool = False
-    """Every call is answered 503."""
+    """Answer every call 503."""
     late_seconds: float = 0.0
-    """Writes get no answer and are carried out after this time."""
+    """Execute writes after this delay and do not answer them; 0: at once."""
     turned_away: str = ""
-    """Calls to this one of its addresses are answered 503."""
+    """Answer calls to this address of the store 503."""
     granted: list[str] = []
-    """Workers that the advice service grants; asked at the store's own port."""
+    """Workers that the advice service grants; it is served on the store's port."""
     refused_bodies: bool = False
-    """Every write is answered 429."""
+    """Answer every write 429."""
     bytes_per_second: int = 0
-    """Lists and watches are answered at this rate; 0: at once."""
+    """Send the answers of lists and watches at this rate; 0: no limit."""
     refused_pages: int = 0
-    """So many calls for a later page of a list are answered 503."""
+    """Answer this many calls for a later page of a list 503."""
     stall_after_bytes: int = 0
-    """Lists and watches fall silent after so many bytes; 0: never."""
+    """Stall the answers of lists and watches after this many bytes; 0: never."""
 
 
 class State:
-    """The keys, and who waits for changes."""
+    """The keys, the record and the notification of waiting watches."""
 
     def __init__(self) -> None:
         """Start empty."""
         self.keyspace = Keyspace()
         self.changed = asyncio.Event()
         self.record = Record()
-        self.forgotten = 0
-        """Changes up to this revision are not known any more."""
-        self.late: set[asyncio.Task[None]] = set()
+        self.forgotten_revision = 0
+        """A watch from before this revision is refused, as its history is lost."""
+        self.delayed_writes: set[asyncio.Task[None]] = set()
 
-    def announce(self) -> None:
-        """Wake the watches."""
+    def wake_watches(self) -> None:
+        """Wake the waiting watches."""
         self.changed.set()
         self.changed = asyncio.Event()
 
     async def changes(
         self, prefix: bytes, after: int, seconds: float
     ) -> tuple[list[dict[str, Any]], int]:
-        """Wait for changes under a prefix; return them and the revision they reach."""
+        """Wait up to `seconds` for changes after the revision `after` under `prefix`.
+
+        Return the changes and the revision up to which they are complete.
+        """
         loop = asyncio.get_running_loop()
         end = loop.time() + seconds
         while not (events := self._events(prefix, after)) and loop.time() < end:
-            # A change may be written while the timeout is on its way here. Without
-            # another look the revision would cover it and the events would lack it.
+            # A change may be committed between the timeout and this task's next step.
+            # Unless the events are read again, the returned revision would include
+            # that change and the events would not.
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(end - loop.time()):
                     await self.changed.wait()
@@ -126,41 +131,43 @@
     return items
 
 
-def _end(prefix: str) -> bytes:
+def _range_end(prefix: str) -> bytes:
     raw = bytearray(prefix.encode())
     raw[-1] += 1
     return bytes(raw)
 
 
-class StoreHandler(FaultyHandler):
-    """What every call to the store shares."""
+class StoreHandler(FaultInjectingHandler):
+    """The base class of the store's handlers."""
 
     state: State
 
     async def prepare(self) -> None:
-        """Suffer the faults, or refuse."""
+        """Apply the fault switches; answer 503 if they say so."""
         await super().prepare()
-        away = self.request.host_name == self.switches.now.turned_away
-        if (self.switches.now.busy or away) and not self._finished:
+        is_turned_away = self.request.host_name == self.switches.current.turned_away
+        if (self.switches.current.busy or is_turned_away) and not self._finished:
             self.answer({"error": "busy"}, 503)
 
     async def answer_slowly(self, body: Any) -> None:
-        """Answer with JSON as fast as the link of this answer is."""
+        """Answer with JSON at the rate, and up to the stall, that the switches set."""
         data = msgspec.json.encode(body)
         self.set_header("Content-Type", "application/json")
         self.set_header("Content-Length", str(len(data)))
-        part = int(self.switches.now.bytes_per_second * PART_SECONDS) or len(data)
-        stall = self.switches.now.stall_after_bytes or len(data)
-        for first in range(0, min(len(data), stall), part):
-            self.write(data[first : min(first + part, stall)])
+        chunk_bytes = int(
+            self.switches.current.bytes_per_second * CHUNK_INTERVAL_SECONDS
+        ) or len(data)
+        stall = self.switches.current.stall_after_bytes or len(data)
+        for first in range(0, min(len(data), stall), chunk_bytes):
+            self.write(data[first : min(first + chunk_bytes, stall)])
             with contextlib.suppress(StreamClosedError):
                 await self.flush()
-            if self.gone.is_set():
+            if self.disconnected.is_set():
                 return
-            if first + part < len(data):
-                await asyncio.sleep(PART_SECONDS)
+            if first + chunk_bytes < len(data):
+                await asyncio.sleep(CHUNK_INTERVAL_SECONDS)
         if stall < len(data):
-            await self.gone.wait()
+            await self.disconnected.wait()
             return
         self.finish()
 
@@ -169,12 +176,12 @@
     """`POST /advise`."""
 
     def post(self) -> None:
-        """Grant the named workers that may run a step."""
+        """Return a ticket for each named worker that is granted."""
         body = msgspec.json.decode(self.request.body)
         granted = [
             [worker, f"{body['step']}/{worker}"]
             for worker in body["workers"]
-            if worker in self.switches.now.granted
+            if worker in self.switches.current.granted
         ]
         self.answer({"granted": granted, "validMs": 3000})
 
@@ -183,7 +190,7 @@
     """`GET /kv-key`."""
 
     def get(self) -> None:
-        """Return one key."""
+        """Return one key, or 404 if it does not exist."""
         found = self.state.keyspace.get(self.get_query_argument("key").encode())
         revision = {"storeRevision": self.state.keyspace.revision}
         if found is None:
@@ -200,13 +207,13 @@
         prefix = self.get_query_argument("prefix")
         after = self.get_query_argument("after", "")
         self.state.record.add("list", prefix, after)
-        if after and self.switches.now.refused_pages > 0:
-            self.switches.now.refused_pages -= 1
+        if after and self.switches.current.refused_pages > 0:
+            self.switches.current.refused_pages -= 1
             self.answer({"error": "busy"}, 503)
             return
         keyspace = self.state.keyspace
         start = (after + "\0" if after else prefix).encode()
-        found = keyspace.range(start, _end(prefix))
+        found = keyspace.range(start, _range_end(prefix))
         items = _page(found)
         await self.answer_slowly(
             {
@@ -221,11 +228,11 @@
     """`GET /kv-watch`."""
 
     async def get(self) -> None:
-        """Return changes as soon as there are any."""
+        """Return changes as soon as there are any, or none after the wait."""
         prefix = self.get_query_argument("prefix").encode()
         after = int(self.get_query_argument("after"))
         wait = int(self.get_query_argument("waitMs")) / MILLISECONDS
-        if after < self.state.forgotten:
+        if after < self.state.forgotten_revision:
             self.answer({"error": "forgotten"}, 410)
             return
         events, revision = await self.state.changes(
@@ -238,7 +245,7 @@
     """`POST /kv-txn`."""
 
     async def post(self) -> None:
-        """Carry out a transaction, or none of it."""
+        """Execute a transaction atomically."""
         body = msgspec.json.decode(self.request.body)
         conditions = body.get("expectRev", [])
         puts = body.get("setKeys", [])
@@ -247,16 +254,21 @@
             self.answer({"error": "too many entries"}, 400)
             return
         written = [put["key"] for put in puts] + removed
-        if any(key.startswith(OPERATORS) for key in written) and not self._operator():
+        if (
+            any(key.startswith(OPERATOR_PREFIXES) for key in written)
+            and not self._is_operator()
+        ):
             self.answer({"error": "not yours to write"}, 403)
             return
-        if self.switches.now.refused_bodies:
+        if self.switches.current.refused_bodies:
             self.answer({"error": "too many"}, 429)
             return
-        late = self.switches.now.late_seconds
-        if late:
-            task = asyncio.create_task(self._later(late, conditions, puts, removed))
-            self.state.late.add(task)
+        delay = self.switches.current.late_seconds
+        if delay:
+            task = asyncio.create_task(
+                self._apply_later(delay, conditions, puts, removed)
+            )
+            self.state.delayed_writes.add(task)
             self.drop()
             return
         answer, status = self._apply(conditions, puts, removed)
@@ -265,10 +277,10 @@
             return
         self.answer(answer, status)
 
-    def _operator(self) -> bool:
+    def _is_operator(self) -> bool:
         return self.request.headers.get("Operator") == "yes"
 
-    async def _later(
+    async def _apply_later(
         self, seconds: float, conditions: list[Any], puts: list[Any], removed: list[str]
     ) -> None:
         await asyncio.sleep(seconds)
@@ -290,39 +302,39 @@
         for key in removed:
             events += keyspace.delete(key.encode(), b"")
         keyspace.commit(events, "txn")
-        self.state.announce()
+        self.state.wake_watches()
         return {"rev": keyspace.revision}, 200
 
 
 class ForgetHandler(StoreHandler):
-    """`POST /forget`: a switch of tests; the history is gone."""
+    """`POST /forget`: a control for tests that discards the history."""
 
     def post(self) -> None:
-        """Forget the history."""
-        self.state.forgotten = self.state.keyspace.revision
+        """Refuse watches from before the current revision."""
+        self.state.forgotten_revision = self.state.keyspace.revision
         self.answer({})
 
 
 async def start(port: int = 0) -> dict[str, Any]:
-    """Serve; return the port."""
+    """Serve the store on `port`; return the fields of the ready line."""
     state = State()
     switches = Switches(Faults)
-    parts = {"switches": switches, "state": state}
+    handler_arguments = {"switches": switches, "state": state}
     routes = [
-        ("/advise", AdviseHandler, parts),
-        ("/kv-key", KeyHandler, parts),
-        ("/kv-range", RangeHandler, parts),
-        ("/kv-watch", WatchHandler, parts),
-        ("/kv-txn", TxnHandler, parts),
-        ("/forget", ForgetHandler, parts),
+        ("/advise", AdviseHandler, handler_arguments),
+        ("/kv-key", KeyHandler, handler_arguments),
+        ("/kv-range", RangeHandler, handler_arguments),
+        ("/kv-watch", WatchHandler, handler_arguments),
+        ("/kv-txn", TxnHandler, handler_arguments),
+        ("/forget", ForgetHandler, handler_arguments),
         ("/faults", FaultsHandler, {"switches": switches}),
         ("/record", RecordHandler, {"show": lambda: {"rows": list(state.record.rows)}}),
     ]
-    return {"port": listen(routes, port, more_hosts=OWN_HOSTS)}
+    return {"port": listen(routes, port, more_hosts=ENTRY_HOSTS)}
 
 
 def main(*, port: int = 0) -> None:
-    """Run the stand-in."""
+    """Serve the store on loopback."""
     run(lambda: start(port))
 
 
--- a/standins/platform_worker.py
+++ b/standins/platform_worker.py
@@ -1,7 +1,8 @@
-"""A worker of the platform: heartbeats to its agent, runs, leases, ends.
+"""The stand-in for a worker of the platform, run as a process.
 
-A job's spec says what its tasks do: `{"seconds": 0.2}`, and `"fail": true`. Everything
-that starts and ends is recorded, so that a test can tell what ran where and when.
+It sends heartbeats to its agent and runs tasks as timers under one lease. A job's spec
+says what its tasks do: `{"seconds": 0.2}`, and `"fail": true`. Every start and end is
+recorded, so that a test can check what ran where and when.
 """
 
 import asyncio
@@ -17,8 +18,8 @@
 
 from standins.serving import (
     CommonFaults,
+    FaultInjectingHandler,
     FaultsHandler,
-    FaultyHandler,
     Record,
     RecordHandler,
     Switches,
@@ -29,27 +30,27 @@
 
 MILLISECONDS = 1000
 TICK_SECONDS = 0.01
-BEAT_SECONDS = 0.3
-MAX_HOLD_SECONDS = 6.0
+HEARTBEAT_SECONDS = 0.3
+MAX_LEASE_SECONDS = 6.0
 STOP_SECONDS = 0.05
-ENDS_SHOWN = 500
+MAX_ENDS_PER_ANSWER = 500
 
 
 class Faults(CommonFaults):
     """Fault switches of the worker."""
 
     late_seconds: float = 0.0
-    """Orders get no answer and are carried out after this time."""
+    """Execute orders after this delay and do not answer them; 0: at once."""
     fail: bool = False
-    """Everything fails as soon as it has started."""
+    """Every run fails as soon as it has started."""
     draining: bool = False
     silent: bool = False
-    """No heartbeat and no answer; what runs goes on."""
+    """Send no heartbeat and no answer; running tasks continue."""
 
 
 @dataclass
 class Run:
-    """One run under way."""
+    """A run in progress; `stops_at` is 0 unless it was asked to stop."""
 
     run: int
     ends_at: float
@@ -59,39 +60,45 @@
 
 @dataclass
 class State:
-    """What the worker knows in this life."""
+    """The state of the worker, which is lost when its process ends.
+
+    The one lease covers all runs. `last_closed_run_by_task` holds the highest run
+    number of each task that has ended or must not start any more.
+    """
 
     instance: str
-    began: float = field(default_factory=boot_time)
-    born: int = field(default_factory=lambda: int(time.time() * MILLISECONDS))
+    started_at: float = field(default_factory=boot_time)
+    started_wall_ms: int = field(
+        default_factory=lambda: int(time.time() * MILLISECONDS)
+    )
     fence: int = 0
     lease_until: float = 0.0
     lapsed: bool = True
     run_by_task: dict[str, Run] = field(default_factory=dict)
-    closed_run_by_task: dict[str, int] = field(default_factory=dict)
+    last_closed_run_by_task: dict[str, int] = field(default_factory=dict)
     ends: list[list[Any]] = field(default_factory=list)
-    counted: int = 0
+    last_end_number: int = 0
     record: Record = field(default_factory=Record)
     ended: asyncio.Event = field(default_factory=asyncio.Event)
-    late: set[Any] = field(default_factory=set)
+    background: set[Any] = field(default_factory=set)
 
     def clock_ms(self) -> int:
-        """Return the worker's own clock."""
-        return int((boot_time() - self.began) * MILLISECONDS)
+        """Return the milliseconds since the worker started, its own clock."""
+        return int((boot_time() - self.started_at) * MILLISECONDS)
 
     def end(self, task: str, how: str) -> None:
-        """End a run."""
+        """End the run of a task with the result `how`."""
         ended = self.run_by_task.pop(task).run
-        closed = self.closed_run_by_task.get(task, 0)
-        self.closed_run_by_task[task] = max(closed, ended)
-        self.counted += 1
-        self.ends.append([self.counted, task, ended, how, ""])
+        closed = self.last_closed_run_by_task.get(task, 0)
+        self.last_closed_run_by_task[task] = max(closed, ended)
+        self.last_end_number += 1
+        self.ends.append([self.last_end_number, task, ended, how, ""])
         self.record.add("end", time.time(), self.instance, task, ended, how)
         self.ended.set()
         self.ended = asyncio.Event()
 
     def tick(self) -> None:
-        """Let runs end whose time has come, and all once the lease has run out."""
+        """End the runs that are due, or all runs if the lease has expired."""
         now = boot_time()
         before = self.lapsed
         self.lapsed = self.clock_ms() >= self.lease_until * MILLISECONDS
@@ -106,65 +113,65 @@
                 self.end(task, "failed" if running.fails else "done")
 
 
-class OrderHandler(FaultyHandler):
-    """What every order shares."""
+class OrderHandler(FaultInjectingHandler):
+    """The base class of handlers for the agent's orders."""
 
     state: State
 
     async def prepare(self) -> None:
-        """Suffer the faults."""
-        if self.switches.now.silent:
-            await self.gone.wait()
+        """Apply the fault switches."""
+        if self.switches.current.silent:
+            await self.disconnected.wait()
             self.drop()
             return
         await super().prepare()
 
     def post(self) -> None:
-        """Carry out the order, now or later."""
+        """Execute the order, now or after the delay that the switches set."""
         body = json.loads(self.request.body)
-        late = self.switches.now.late_seconds
-        if late:
+        delay = self.switches.current.late_seconds
+        if delay:
             loop = asyncio.get_running_loop()
-            self.state.late.add(loop.call_later(late, self.carry_out, body))
+            self.state.background.add(loop.call_later(delay, self.execute, body))
             self.drop()
             return
-        answer, status = self.carry_out(body)
+        answer, status = self.execute(body)
         if self.loses_answer():
             self.drop()
             return
         self.answer(answer | {"clockMs": self.state.clock_ms()}, status)
 
-    def fenced(self, body: dict[str, Any]) -> bool:
-        """Tell whether an order comes from a process that was replaced."""
+    def is_fenced(self, body: dict[str, Any]) -> bool:
+        """Return whether the fencing token is outdated; if not, store it."""
         if body.get("fence", 0) < self.state.fence:
             return True
         self.state.fence = body.get("fence", 0)
         return False
 
-    def extend(self, body: dict[str, Any]) -> None:
-        """Lengthen the lease of all runs."""
-        longest = boot_time() - self.state.began + MAX_HOLD_SECONDS
+    def extend_lease(self, body: dict[str, Any]) -> None:
+        """Extend the lease of all runs."""
+        longest = boot_time() - self.state.started_at + MAX_LEASE_SECONDS
         until = min(body.get("deadlineMs", 0) / MILLISECONDS, longest)
         self.state.lease_until = max(self.state.lease_until, until)
 
-    def carry_out(self, body: dict[str, Any]) -> tuple[dict[str, Any], int]:
-        """Do what is ordered."""
+    def execute(self, body: dict[str, Any]) -> tuple[dict[str, Any], int]:
+        """Execute the order; return the answer and its HTTP status."""
         raise NotImplementedError
 
 
 class StartHandler(OrderHandler):
     """`POST /run-start`."""
 
-    def carry_out(self, body: dict[str, Any]) -> tuple[dict[str, Any], int]:
-        """Start a run."""
+    def execute(self, body: dict[str, Any]) -> tuple[dict[str, Any], int]:
+        """Start a run; idempotent by its task and run number."""
         state = self.state
-        if self.fenced(body):
+        if self.is_fenced(body):
             return {"reason": "fence"}, 409
         task, run = body["task"], body["run"]
         running = state.run_by_task.get(task)
         if running is not None and running.run == run:
             return {}, 200
-        if running is not None or run <= state.closed_run_by_task.get(task, 0):
+        if running is not None or run <= state.last_closed_run_by_task.get(task, 0):
             return {"reason": "old"}, 409
         if body["deadlineMs"] <= state.clock_ms():
             return {"reason": "late"}, 409
@@ -172,9 +179,9 @@
         wanted = f"{task.rpartition('.')[0]}/{state.instance}"
         if spec.get("ticketed") and body.get("ticket") != wanted:
             return {"reason": "ticket"}, 409
-        self.extend(body)
-        fails = self.switches.now.fail or spec.get("fail", False)
-        seconds = 0.0 if self.switches.now.fail else spec.get("seconds", 0.1)
+        self.extend_lease(body)
+        fails = self.switches.current.fail or spec.get("fail", False)
+        seconds = 0.0 if self.switches.current.fail else spec.get("seconds", 0.1)
         state.run_by_task[task] = Run(run, boot_time() + seconds, fails)
         state.record.add("start", time.time(), state.instance, task, run, "")
         return {}, 200
@@ -183,26 +190,26 @@
 class StopHandler(OrderHandler):
     """`POST /run-stop`."""
 
-    def carry_out(self, body: dict[str, Any]) -> tuple[dict[str, Any], int]:
-        """Stop a run, or keep it from ever starting."""
+    def execute(self, body: dict[str, Any]) -> tuple[dict[str, Any], int]:
+        """Stop the run, or prevent it from starting if it has not started."""
         state = self.state
-        if self.fenced(body):
+        if self.is_fenced(body):
             return {"reason": "fence"}, 409
         task, run = body["task"], body["run"]
         running = state.run_by_task.get(task)
         if running is not None and running.run <= run:
             running.stops_at = running.stops_at or boot_time() + STOP_SECONDS
-        closed = state.closed_run_by_task.get(task, 0)
-        state.closed_run_by_task[task] = max(closed, run)
+        closed = state.last_closed_run_by_task.get(task, 0)
+        state.last_closed_run_by_task[task] = max(closed, run)
         return {}, 200
 
 
 class PaceHandler(OrderHandler):
     """`POST /pace`."""
 
-    def carry_out(self, body: dict[str, Any]) -> tuple[dict[str, Any], int]:
-        """Note a pace."""
-        if self.fenced(body):
+    def execute(self, body: dict[str, Any]) -> tuple[dict[str, Any], int]:
+        """Record the pace of a run."""
+        if self.is_fenced(body):
             return {"reason": "fence"}, 409
         row = ("pace", time.time(), self.state.instance, body["task"], body["run"])
         self.state.record.add(*row, body["percent"])
@@ -213,13 +220,13 @@
     """`POST /hold`."""
 
     async def post(self) -> None:
-        """Renew the lease, take acknowledgements, and list all runs."""
+        """Extend the lease, drop acknowledged ends, and list runs and ends."""
         body = json.loads(self.request.body)
         state = self.state
-        if self.fenced(body):
+        if self.is_fenced(body):
             self.answer({"reason": "fence", "clockMs": state.clock_ms()}, 409)
             return
-        self.extend(body)
+        self.extend_lease(body)
         seen = body.get("ackCursor", 0)
         if any(end[0] <= seen for end in state.ends):
             state.record.add("ack", time.time(), state.instance, "", seen, "")
@@ -235,32 +242,38 @@
         self.answer(
             {
                 "clockMs": state.clock_ms(),
-                "born": state.born,
+                "born": state.started_wall_ms,
                 "running": [
                     [t, r.run, "", 50, 0] for t, r in state.run_by_task.items()
                 ],
-                "finished": state.ends[:ENDS_SHOWN],
+                "finished": state.ends[:MAX_ENDS_PER_ANSWER],
             }
         )
 
 
-async def _beat(state: State, switches: Switches[Faults], more: dict[str, Any]) -> None:
+async def _send_heartbeats(
+    state: State, switches: Switches[Faults], heartbeat: dict[str, Any]
+) -> None:
     client = AsyncHTTPClient()
-    control = more.pop("control")
+    control = heartbeat.pop("control")
     url = f"http://{control}/instances/{state.instance}/heartbeat"
     number = 0
     while True:
         number += 1
-        word = "draining" if switches.now.draining else "ready"
-        body = more | {"state": word, "seq": number, "clockMs": state.clock_ms()}
-        if not switches.now.silent:
+        state_name = "draining" if switches.current.draining else "ready"
+        body = heartbeat | {
+            "state": state_name,
+            "seq": number,
+            "clockMs": state.clock_ms(),
+        }
+        if not switches.current.silent:
             request = HTTPRequest(
                 url, method="POST", body=json.dumps(body), request_timeout=1.0
             )
-            # A heartbeat that reaches nobody is followed by the next one.
+            # A lost heartbeat needs no retry, because the next one follows.
             with contextlib.suppress(OSError, HTTPClientError):
                 await client.fetch(request, raise_error=False)
-        await asyncio.sleep(BEAT_SECONDS)
+        await asyncio.sleep(HEARTBEAT_SECONDS)
 
 
 async def _tick(state: State) -> None:
@@ -272,19 +285,19 @@
 async def start(
     state: State, control: str, cores: float, zone: str, port: int, announced_port: int
 ) -> dict[str, Any]:
-    """Serve, and announce the worker at its agent's `control` address."""
+    """Serve the worker and send heartbeats to its agent's `control` address."""
     switches = Switches(Faults)
-    parts = {"switches": switches, "state": state}
+    handler_arguments = {"switches": switches, "state": state}
     routes = [
-        ("/run-start", StartHandler, parts),
-        ("/run-stop", StopHandler, parts),
-        ("/pace", PaceHandler, parts),
-        ("/hold", HoldHandler, parts),
+        ("/run-start", StartHandler, handler_arguments),
+        ("/run-stop", StopHandler, handler_arguments),
+        ("/pace", PaceHandler, handler_arguments),
+        ("/hold", HoldHandler, handler_arguments),
         ("/faults", FaultsHandler, {"switches": switches}),
         ("/record", RecordHandler, {"show": lambda: {"rows": list(state.record.rows)}}),
     ]
     bound = listen(routes, port)
-    more = {
+    heartbeat = {
         "control": control,
         "service": "booking-core",
         "addr": f"127.0.0.1:{announced_port or bound}",
@@ -292,12 +305,14 @@
         "version": "v1",
         "slots": 8,
         "coldLeftMs": 0,
-        "born": state.born,
+        "born": state.started_wall_ms,
         "capacity": {"cpu": int(cores * 1000), "memMb": 64_000, "gpu": 0},
         "labels": ["a", "r1"],
     }
-    state.late.add(asyncio.create_task(_beat(state, switches, more)))
-    state.late.add(asyncio.create_task(_tick(state)))
+    state.background.add(
+        asyncio.create_task(_send_heartbeats(state, switches, heartbeat))
+    )
+    state.background.add(asyncio.create_task(_tick(state)))
     return {"port": bound}
 
 
@@ -311,10 +326,10 @@
     announced_port: int = 0,
     record: Path | None = None,
 ) -> None:
-    """Run the stand-in.
+    """Serve the worker on loopback.
 
-    Parameters: `announced_port` is told in heartbeats where calls come through a link;
-    `record` is a file that keeps the record beyond this process.
+    Parameters: `announced_port` replaces the port in heartbeats if calls come through a
+    link; `record` is a file that keeps the record after this process has ended.
     """
     state = State(instance, record=Record(record))
     run(lambda: start(state, control, cores, zone, port, announced_port))
--- a/standins/processes.py
+++ b/standins/processes.py
@@ -1,4 +1,4 @@
-"""Processes under test: started, watched, frozen and ended, each by its own pid."""
+"""Child processes for tests and benchmarks, and an HTTP client to call them."""
 
 import atexit
 import json
@@ -24,15 +24,16 @@
 READY_SECONDS = 15.0
 STOP_SECONDS = 10.0
 READY = "ready "
-PORT_TAKEN = "Address already in use"
-PORT_PAUSE_SECONDS = 0.1
+PORT_IN_USE_MESSAGE = "Address already in use"
+PORT_RETRY_SECONDS = 0.1
 
 
 def wait_for(condition: Callable[[], T | None], timeout: float, what: str) -> T:
-    """Poll `condition` until it holds, and return its value.
+    """Poll `condition` until its value is true, and return that value.
 
     Raises:
-        AssertionError: it did not hold in time; names `what` and the last value.
+        AssertionError: it was not true within `timeout` seconds; names `what` and the
+            last value.
 
     """
     end = time.monotonic() + timeout
@@ -46,25 +47,25 @@
 
 
 class HttpError(Exception):
-    """A request that got no whole answer; `code` is curl's."""
+    """A request without a complete answer; `code` is curl's error code."""
 
     def __init__(self, code: int, message: str) -> None:
-        """Take curl's code and message."""
+        """Store curl's error code and message."""
         super().__init__(message)
         self.code = code
 
 
 class Response:
-    """A whole HTTP answer; header names are in lower case."""
+    """A complete HTTP answer; header names are in lower case."""
 
     def __init__(self, status: int, headers: dict[str, str], body: bytes) -> None:
-        """Take the answer's parts."""
+        """Store the parts of the answer."""
         self.status = status
         self.headers = headers
         self.body = body
 
     def json(self) -> Any:
-        """Return the body read as JSON."""
+        """Return the body decoded from JSON."""
         return json.loads(self.body)
 
     def __repr__(self) -> str:
@@ -82,7 +83,7 @@
     """Make one request; a body that is not bytes is sent as JSON.
 
     Raises:
-        HttpError: no whole answer came.
+        HttpError: no complete answer came within `timeout` seconds.
 
     """
     received = BytesIO()
@@ -133,7 +134,7 @@
 
 
 class Stream:
-    """A streamed answer, read in a thread: a watch or an event stream."""
+    """A streamed answer, read line by line in a thread: a watch or an event stream."""
 
     def __init__(
         self,
@@ -145,7 +146,7 @@
         """Open the stream."""
         self.lines: list[str] = []
         self.ended = False
-        self._rest = b""
+        self._partial_line = b""
         self._socket: socket.socket | None = None
         self._curl = _curl(method, url, body, headers)
         self._curl.setopt(pycurl.WRITEFUNCTION, self._read)
@@ -165,7 +166,7 @@
         return self._socket
 
     def _read(self, chunk: bytes) -> None:
-        *whole, self._rest = (self._rest + chunk).split(b"\n")
+        *whole, self._partial_line = (self._partial_line + chunk).split(b"\n")
         self.lines.extend(line.decode() for line in whole)
 
     def _run(self) -> None:
@@ -179,7 +180,7 @@
 
 
 class Process:
-    """One child process that prints a ready line; its output goes to files."""
+    """A child process that prints a ready line; its output is redirected to files."""
 
     def __init__(
         self, name: str, folder: Path, module: str, arguments: Sequence[str] = ()
@@ -194,7 +195,7 @@
         self._stdout = folder / f"{name}.stdout"
         self._frozen = False
         self.start()
-        # A test run that dies of an exception must not leave its processes behind.
+        # A test run that ends with an exception must not leave its processes running.
         atexit.register(self.kill)
 
     @property
@@ -204,12 +205,12 @@
 
     @property
     def is_standin(self) -> bool:
-        """Whether it stands in for the platform, and so has fault switches."""
+        """Whether it is a stand-in for the platform, which has fault switches."""
         return self.module.startswith("standins.")
 
     @property
     def alive(self) -> bool:
-        """Whether the process has not ended."""
+        """Whether the process is running."""
         return self._child.poll() is None
 
     @property
@@ -219,10 +220,10 @@
         return f"http://127.0.0.1:{port}"
 
     def start(self) -> None:
-        """Start the program and wait until it is ready; again on the same ports.
+        """Start the program and wait until it is ready; restart it on the same ports.
 
-        While a process is down, the kernel may give its port to an outgoing
-        connection of any other for a moment; a restart then waits for the port.
+        While the process is down, the kernel may assign its port to an outgoing
+        connection of another process; a restart retries until the port is free.
         """
         end = time.monotonic() + READY_SECONDS
         while True:
@@ -230,10 +231,10 @@
                 self._start()
                 return
             except AssertionError:
-                taken = self.ready and PORT_TAKEN in self.stderr.read_text()
+                taken = self.ready and PORT_IN_USE_MESSAGE in self.stderr.read_text()
                 if not taken or time.monotonic() >= end:
                     raise
-                time.sleep(PORT_PAUSE_SECONDS)
+                time.sleep(PORT_RETRY_SECONDS)
 
     def _start(self) -> None:
         command = [sys.executable, "-m", self.module, *self.arguments]
@@ -253,42 +254,42 @@
             raise AssertionError(f"{error}\n{self.stderr.read_text()}") from None
 
     def kill(self) -> None:
-        """End the process at once, without goodbye."""
+        """Kill the process with SIGKILL and wait for its end."""
         self._child.kill()
         self._child.wait()
         self._frozen = False
 
     def terminate(self, timeout: float = STOP_SECONDS) -> int:
-        """Ask the process to stop, and return its exit code."""
+        """Send SIGTERM, wait for the end and return the exit code."""
         self.thaw()
         self._child.terminate()
         return self._child.wait(timeout)
 
     def signal_to_stop(self) -> None:
-        """Ask the process to stop, and do not wait."""
+        """Send SIGTERM without waiting for the end."""
         self._child.terminate()
 
     def wait_for_end(self, timeout: float = STOP_SECONDS) -> None:
-        """Wait until the process has ended; it is killed where it does not."""
+        """Wait until the process has ended; kill it after `timeout` seconds."""
         try:
             self._child.wait(timeout)
         except subprocess.TimeoutExpired:
             self.kill()
 
     def close(self) -> None:
-        """Stop the process, by force where it does not stop when asked."""
+        """Stop the process; kill it if it does not end after SIGTERM."""
         try:
             self.terminate()
         except subprocess.TimeoutExpired:
             self.kill()
 
     def freeze(self) -> None:
-        """Pause the process as a paused VM would."""
+        """Pause the process with SIGSTOP, as a paused VM would."""
         self._child.send_signal(signal.SIGSTOP)
         self._frozen = True
 
     def thaw(self) -> None:
-        """Let a frozen process go on."""
+        """Resume a frozen process."""
         if self._frozen:
             self._child.send_signal(signal.SIGCONT)
             self._frozen = False
@@ -305,7 +306,7 @@
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
     def faults(self, **switches: Any) -> None:
-        """Set fault switches of a stand-in; none given resets them all."""
+        """Set fault switches of a stand-in; without arguments, reset them all."""
         method = "PUT" if switches else "DELETE"
         response = http(method, self._control_url("faults"), switches or None)
         assert response.status == 200, response
--- a/standins/serving.py
+++ b/standins/serving.py
@@ -1,4 +1,4 @@
-"""What every stand-in shares: its start, fault switches, record and handlers."""
+"""The base of every stand-in process: start, fault switches, record and handlers."""
 
 import asyncio
 import json
@@ -22,7 +22,11 @@
 
 
 class CommonFaults(msgspec.Struct, forbid_unknown_fields=True):
-    """Fault switches of every stand-in that speaks HTTP."""
+    """Fault switches of every stand-in that serves HTTP.
+
+    `hang` leaves calls unanswered, `slow_seconds` delays them, and `lose_answers` is
+    the number of answers to lose after the call has taken effect.
+    """
 
     hang: bool = False
     slow_seconds: float = 0.0
@@ -30,29 +34,29 @@
 
 
 class Switches(Generic[F]):
-    """The fault switches as they stand, and who wants to hear of a change."""
+    """The current fault switches and the callback for their changes."""
 
     def __init__(self, kind: type[F]) -> None:
-        """Start with no fault."""
+        """Start without faults."""
         self.kind = kind
-        self.now = kind()
+        self.current = kind()
         self.on_change: Callable[[F, F], None] = lambda before, after: None
 
     def update(self, patch: dict[str, Any]) -> None:
-        """Set the switches in `patch` and leave the others."""
-        self._set(msgspec.convert(msgspec.to_builtins(self.now) | patch, self.kind))
+        """Set the switches in `patch` and keep the others."""
+        self._set(msgspec.convert(msgspec.to_builtins(self.current) | patch, self.kind))
 
     def reset(self) -> None:
-        """Return to no fault."""
+        """Reset all switches."""
         self._set(self.kind())
 
     def _set(self, after: F) -> None:
-        before, self.now = self.now, after
+        before, self.current = self.current, after
         self.on_change(before, after)
 
 
 class Record:
-    """A bounded list of what happened, also kept in a file that outlives a kill."""
+    """A bounded list of events, optionally also kept in a file that survives a kill."""
 
     def __init__(self, path: Path | None = None) -> None:
         """Keep rows in memory, and append them to `path` where one is given."""
@@ -70,15 +74,15 @@
     """`GET` shows the fault switches, `PUT` sets some, `DELETE` resets them all."""
 
     def initialize(self, switches: Switches[Any]) -> None:
-        """Take the switches."""
+        """Store the switches."""
         self.switches = switches
 
     def get(self) -> None:
         """Show the switches."""
-        self.finish(msgspec.json.encode(self.switches.now))
+        self.finish(msgspec.json.encode(self.switches.current))
 
     def put(self) -> None:
-        """Set the switches given."""
+        """Set the given switches."""
         try:
             self.switches.update(json.loads(self.request.body))
         except (ValueError, TypeError, msgspec.ValidationError) as error:
@@ -94,10 +98,10 @@
 
 
 class RecordHandler(RequestHandler):
-    """`GET` shows what happened."""
+    """`GET` shows the record of the stand-in."""
 
     def initialize(self, show: Callable[[], dict[str, Any]]) -> None:
-        """Take the function that builds the answer."""
+        """Store the function that builds the answer."""
         self.show = show
 
     def get(self) -> None:
@@ -105,28 +109,28 @@
         self.finish(self.show())
 
 
-class FaultyHandler(RequestHandler):
-    """A handler that first suffers the faults switched on."""
+class FaultInjectingHandler(RequestHandler):
+    """A handler that first applies the faults that are switched on."""
 
     def initialize(self, switches: Switches[Any], **state: Any) -> None:
-        """Take the switches, and the state as attributes."""
+        """Store the switches, and the state as attributes."""
         self.switches = switches
-        self.gone = asyncio.Event()
+        self.disconnected = asyncio.Event()
         for name, value in state.items():
             setattr(self, name, value)
 
     def on_connection_close(self) -> None:
-        """Note that the client closed the connection."""
-        self.gone.set()
+        """Set `disconnected` when the client has closed the connection."""
+        self.disconnected.set()
 
     async def prepare(self) -> None:
-        """Wait as the switches say."""
-        if self.switches.now.hang:
-            await self.gone.wait()
+        """Hang or wait, as the switches say."""
+        if self.switches.current.hang:
+            await self.disconnected.wait()
             self.drop()
             return
-        if self.switches.now.slow_seconds:
-            await asyncio.sleep(self.switches.now.slow_seconds)
+        if self.switches.current.slow_seconds:
+            await asyncio.sleep(self.switches.current.slow_seconds)
 
     def drop(self) -> None:
         """Close the connection without an answer."""
@@ -135,10 +139,10 @@
             stream.close()
 
     def loses_answer(self) -> bool:
-        """Tell whether this answer is to be lost, and count it."""
-        if self.switches.now.lose_answers <= 0:
+        """Return whether this answer is to be lost; if so, decrement `lose_answers`."""
+        if self.switches.current.lose_answers <= 0:
             return False
-        self.switches.now.lose_answers -= 1
+        self.switches.current.lose_answers -= 1
         return True
 
     def answer(self, body: Any, status: int = 200) -> None:
@@ -149,7 +153,7 @@
 
 
 def log_nothing(handler: RequestHandler) -> None:
-    """Keep requests out of stderr."""
+    """Log no request, so that stderr shows only errors."""
 
 
 def listen(routes: list[Any], port: int, *, more_hosts: Iterable[str] = ()) -> int:
@@ -179,8 +183,8 @@
         ready = await start()
         print("ready " + json.dumps(ready), flush=True)
         await stop.wait()
-        # A normal return would cancel the streams still open, and tornado logs an
-        # error for each; records are flushed line by line, so nothing is lost.
+        # A normal return would cancel the open streams, and tornado would log an error
+        # for each. Records are flushed line by line, so nothing is lost by this exit.
         os._exit(0)
 
     asyncio.run(serve())
--- a/standins/store.py
+++ b/standins/store.py
@@ -1,7 +1,7 @@
-"""The platform's key-value service: the JSON calls listed on the platform page.
+"""The stand-in for the platform's key-value service with a JSON API, run as a process.
 
-Rate limits count a transaction that may write, and each lease call, as a write;
-the rest, and opening a watch, as a read.
+The rate limits count a transaction that may write, and each lease call, as a write.
+All other calls, such as opening a watch, count as reads.
 """
 
 import asyncio
@@ -16,8 +16,8 @@
 from standins.keyspace import Event, Keyspace, in_range
 from standins.serving import (
     CommonFaults,
+    FaultInjectingHandler,
     FaultsHandler,
-    FaultyHandler,
     Record,
     RecordHandler,
     Switches,
@@ -46,7 +46,7 @@
 from wagtailcleat.clock import boot_time
 
 TICK_SECONDS = 0.02
-SECONDS_KEPT = 7200
+MAX_COUNTED_SECONDS = 7200
 TOO_MANY_REQUESTS = 8
 UNAVAILABLE = 14
 
@@ -61,11 +61,11 @@
     leases_run_while_down: bool = True
 
 
-class Bucket:
+class TokenBucket:
     """A token bucket that holds one second's worth."""
 
     def __init__(self) -> None:
-        """Start full."""
+        """Start with a full bucket."""
         self._tokens = float("inf")
         self._filled_at = 0.0
 
@@ -82,13 +82,13 @@
         return True
 
 
-class Calls:
+class CallCounts:
     """Counts of calls, by path and by second."""
 
     def __init__(self) -> None:
-        """Start at nothing."""
+        """Start with no call."""
         self.count_by_path: Counter[str] = Counter()
-        self.by_second: deque[list[int]] = deque(maxlen=SECONDS_KEPT)
+        self.by_second: deque[list[int]] = deque(maxlen=MAX_COUNTED_SECONDS)
 
     def add(self, path: str, write: bool, now: float) -> None:
         """Count one call."""
@@ -100,25 +100,25 @@
 
 
 class Store:
-    """All state of the store stand-in."""
+    """The keys, watches, rate limits and call counts of the store."""
 
     def __init__(self) -> None:
-        """Start empty and without faults."""
+        """Start without keys and without faults."""
         self.keyspace = Keyspace()
         self.switches = Switches(Faults)
-        self.calls = Calls()
+        self.calls = CallCounts()
         self.writes = Record()
         self.watches: set[WatchHandler] = set()
-        self.read_bucket = Bucket()
-        self.write_bucket = Bucket()
+        self.read_bucket = TokenBucket()
+        self.write_bucket = TokenBucket()
         self.answering = asyncio.Event()
         self.answering.set()
         self.background: asyncio.Task[None] | None = None
-        self.keyspace.on_commit = self._committed
-        self.switches.on_change = self._switched
+        self.keyspace.on_commit = self._on_commit
+        self.switches.on_change = self._on_switches_change
 
     def show(self) -> dict[str, Any]:
-        """Return what happened so far."""
+        """Return calls, writes and watches, as the record shows them."""
         return {
             "calls_by_path": self.calls.count_by_path,
             "calls_by_second": list(self.calls.by_second),
@@ -128,23 +128,23 @@
         }
 
     async def expire_leases(self) -> None:
-        """Expire leases for as long as the store runs."""
+        """Expire leases until the process ends."""
         while True:
-            faults = self.switches.now
+            faults = self.switches.current
             if faults.leases_run_while_down or not faults.down:
                 self.keyspace.expire(time.monotonic())
             await asyncio.sleep(TICK_SECONDS)
 
-    def _committed(self, events: list[Event], cause: str) -> None:
+    def _on_commit(self, events: list[Event], cause: str) -> None:
         now = boot_time()
         for event in events:
             kv = event.kv
             key = kv.key.decode("utf-8", "replace")
             self.writes.add(now, key, kv.version, kv.mod_revision, cause)
         for watch in self.watches:
-            watch.offer(events)
+            watch.enqueue(events)
 
-    def _switched(self, before: Faults, after: Faults) -> None:
+    def _on_switches_change(self, before: Faults, after: Faults) -> None:
         if after.hang:
             self.answering.clear()
         else:
@@ -156,15 +156,15 @@
             self.keyspace.refresh_leases(time.monotonic())
 
 
-class StoreHandler(FaultyHandler):
-    """A call of the store."""
+class StoreHandler(FaultInjectingHandler):
+    """The base class of the store's handlers; `kind` is the request type."""
 
     store: Store
     kind: type[Any]
     always_write = False
 
     async def prepare(self) -> None:
-        """Count the call, and refuse it as the switches say."""
+        """Decode and count the call; refuse it as the switches say."""
         try:
             self.call = msgspec.json.decode(
                 self.request.body, type=self.kind, strict=False
@@ -178,7 +178,7 @@
         if self._finished:
             return
         bucket = self.store.write_bucket if write else self.store.read_bucket
-        faults = self.store.switches.now
+        faults = self.store.switches.current
         rate = faults.writes_per_second if write else faults.reads_per_second
         if faults.down:
             self.refuse(RefusedError(503, UNAVAILABLE, "store is unavailable"))
@@ -186,13 +186,13 @@
             self.refuse(RefusedError(429, TOO_MANY_REQUESTS, "too many requests"))
 
     def refuse(self, refusal: RefusedError) -> None:
-        """Answer with the refusal's code."""
+        """Answer with the code and message of the refusal."""
         body = {"code": refusal.code, "message": str(refusal)}
         self.answer(body, refusal.status)
 
     def answer_write(self, body: Any, keys: set[str]) -> None:
-        """Answer a write that took effect, or lose that answer."""
-        wanted = self.switches.now.lose_answers_matching
+        """Answer a completed write, or lose that answer if the switches say so."""
+        wanted = self.switches.current.lose_answers_matching
         touched = not wanted or any(wanted in key for key in keys)
         if touched and self.loses_answer():
             self.drop()
@@ -201,22 +201,22 @@
 
 
 class RangeHandler(StoreHandler):
-    """Read a range."""
+    """`/v3/kv/range`."""
 
     kind = RangeRequest
 
     def post(self) -> None:
-        """Answer the keys."""
+        """Return the keys in the range."""
         self.answer(read_range(self.store.keyspace, self.call))
 
 
 class TxnHandler(StoreHandler):
-    """Run a transaction."""
+    """`/v3/kv/txn`."""
 
     kind = TxnRequest
 
     def post(self) -> None:
-        """Answer what came of it; only a transaction that wrote can be lost."""
+        """Execute a transaction; only the answer to one that wrote can be lost."""
         try:
             body, keys = run_txn(self.store.keyspace, self.call)
         except RefusedError as refusal:
@@ -229,38 +229,38 @@
 
 
 class GrantHandler(StoreHandler):
-    """Grant a lease."""
+    """`/v3/lease/grant`."""
 
     kind = GrantRequest
     always_write = True
 
     def post(self) -> None:
-        """Answer the lease's id."""
+        """Grant a lease; return its id and TTL."""
         lease_id = self.store.keyspace.grant(self.call.TTL, time.monotonic())
         self.answer_write({"ID": str(lease_id), "TTL": str(self.call.TTL)}, set())
 
 
 class KeepAliveHandler(StoreHandler):
-    """Renew a lease."""
+    """`/v3/lease/keepalive`."""
 
     kind = LeaseRequest
     always_write = True
 
     def post(self) -> None:
-        """Answer the TTL, left out where the lease is gone."""
+        """Renew a lease; return its TTL, omitted if the lease does not exist."""
         ttl = self.store.keyspace.keep_alive(self.call.ID, time.monotonic())
         result = {"ID": str(self.call.ID)} | ({"TTL": str(ttl)} if ttl else {})
         self.answer_write({"result": result}, set())
 
 
 class RevokeHandler(StoreHandler):
-    """Revoke a lease."""
+    """`/v3/lease/revoke`."""
 
     kind = LeaseRequest
     always_write = True
 
     def post(self) -> None:
-        """Delete the lease's keys."""
+        """Delete a lease and its keys."""
         lease = self.store.keyspace.lease_by_id.get(self.call.ID)
         if lease is None:
             self.refuse(RefusedError(404, NOT_FOUND, "requested lease not found"))
@@ -271,27 +271,27 @@
 
 
 class WatchHandler(StoreHandler):
-    """A waiting watch: one JSON line for each revision that touches its keys."""
+    """`/v3/watch`: one JSON line for each revision that changes a watched key."""
 
     kind = WatchRequest
 
-    def offer(self, events: list[Event]) -> None:
-        """Take one revision's events."""
+    def enqueue(self, events: list[Event]) -> None:
+        """Queue the events of one revision for sending."""
         self.queue.put_nowait(events)
 
     def cut(self) -> None:
-        """Close the connection."""
-        self.gone.set()
+        """End the watch and close its connection."""
+        self.disconnected.set()
         self.queue.put_nowait([])
 
     def on_connection_close(self) -> None:
-        """End the watch when its client has gone."""
+        """End the watch when its client has disconnected."""
         super().on_connection_close()
         if hasattr(self, "queue"):
             self.queue.put_nowait([])
 
     async def post(self) -> None:
-        """Write events until the client goes or the watch is cut."""
+        """Send events until the client disconnects or the watch is cut."""
         self.queue: asyncio.Queue[list[Event]] = asyncio.Queue()
         create: CreateWatch = self.call.create_request
         keyspace = self.store.keyspace
@@ -303,7 +303,7 @@
         self.store.watches.add(self)
         try:
             await self._send(WatchResult(header(keyspace), created=True))
-            while not self.gone.is_set():
+            while not self.disconnected.is_set():
                 await self._send_events(create, await self.queue.get())
         except StreamClosedError:
             return
@@ -328,7 +328,7 @@
             and event.kv.mod_revision >= create.start_revision
         ]
         await self.store.answering.wait()
-        if wanted and not self.gone.is_set():
+        if wanted and not self.disconnected.is_set():
             result = WatchResult(header(self.store.keyspace), events=wanted)
             await self._send(result)
 
--- a/standins/store_messages.py
+++ b/standins/store_messages.py
@@ -1,4 +1,7 @@
-"""The store's JSON messages: base64 bytes, 64-bit numbers as decimal text."""
+"""The JSON messages of the stand-in in `standins.store`.
+
+Bytes are in base64, and 64-bit numbers are decimal strings.
+"""
 
 from typing import Literal
 
@@ -8,7 +11,7 @@
 
 
 class Request(msgspec.Struct, forbid_unknown_fields=True):
-    """A request; a field that the platform page does not list is refused."""
+    """A request; fields that the platform does not document are refused."""
 
 
 class RangeRequest(Request):
@@ -56,7 +59,7 @@
 
 
 class TxnRequest(Request):
-    """Operations under conditions."""
+    """A transaction: `success` is executed if all conditions hold, else `failure`."""
 
     compare: list[Compare] = []
     success: list[Operation] = []
@@ -76,7 +79,7 @@
 
 
 class CreateWatch(Request):
-    """What to watch, and from which revision."""
+    """The keys to watch, and the first revision; 0 means new changes only."""
 
     key: bytes
     range_end: bytes = b""
@@ -90,11 +93,11 @@
 
 
 class Answer(msgspec.Struct, omit_defaults=True):
-    """An answer leaves out what has its zero value."""
+    """An answer; fields with their zero value are omitted."""
 
 
 class Header(Answer):
-    """The store's revision."""
+    """The header of an answer: the store's revision."""
 
     revision: str = "0"
 
@@ -111,7 +114,7 @@
 
 
 class RangeAnswer(Answer):
-    """Keys read."""
+    """The keys read; `count` includes those beyond the limit."""
 
     header: Header
     kvs: list[KvAnswer] = []
--- a/standins/transactions.py
+++ b/standins/transactions.py
@@ -1,4 +1,4 @@
-"""Transactions of the store stand-in: checks, conditions and operations."""
+"""Execution of the transactions of the stand-in in `standins.store`."""
 
 import operator
 from typing import Any
@@ -33,10 +33,10 @@
 
 
 class RefusedError(Exception):
-    """A call that the store refuses."""
+    """The store refuses the call."""
 
     def __init__(self, status: int, code: int, message: str) -> None:
-        """Take the HTTP status, the store's code and a sentence."""
+        """Store the HTTP status, the store's error code and a sentence."""
         super().__init__(message)
         self.status = status
         self.code = code
@@ -48,7 +48,7 @@
 
 
 def read_range(keyspace: Keyspace, request: RangeRequest) -> RangeAnswer:
-    """Read a range."""
+    """Return the keys in a range, up to the limit of the request."""
     found = keyspace.range(request.key, request.range_end)
     shown = found[: request.limit] if request.limit else found
     kvs = [kv_answer(kv, request.keys_only) for kv in shown]
@@ -57,13 +57,18 @@
 
 
 def is_write(request: TxnRequest) -> bool:
-    """Tell whether either branch may write."""
+    """Return whether either branch contains a write."""
     operations = request.success + request.failure
     return any(operation.request_range is None for operation in operations)
 
 
 def run_txn(keyspace: Keyspace, request: TxnRequest) -> tuple[dict[str, Any], set[str]]:
-    """Run a transaction; return its answer and the keys it wrote."""
+    """Execute a transaction; return its answer and the keys it wrote.
+
+    Raises:
+        RefusedError: the transaction is invalid or over a limit; nothing is written.
+
+    """
     _check(keyspace, request)
     succeeded = all(_holds(keyspace, compare) for compare in request.compare)
     events: list[Event] = []
@@ -117,7 +122,7 @@
 ) -> dict[str, Any]:
     if operation.request_range:
         return {"response_range": read_range(keyspace, operation.request_range)}
-    # An answer inside a transaction shows the revision that it is about to make.
+    # The answer to an operation has the revision that the transaction will commit.
     next_header = Header(str(keyspace.revision + 1))
     if operation.request_put:
         put = operation.request_put
--- a/standins/virtual_time.py
+++ b/standins/virtual_time.py
@@ -1,8 +1,8 @@
-"""An event loop whose clock jumps, so that hours of timers pass in moments.
+"""An event loop on virtual time, which skips the waits between timers.
 
-Many processes' parts run in one test process on real streams over loopback. The
-selector first looks for real events; only when there are none, after a short
-settle wait, the clock moves to the next timer. The same inputs give the same run.
+Tests run the parts of many processes on it in one process, with real streams over
+loopback. The selector first polls for I/O events. If there are none within a short
+settle time, the clock advances to the next timer. The same inputs give the same run.
 """
 
 import asyncio
@@ -15,14 +15,14 @@
 SETTLE_SECONDS = 0.0003
 
 
-class JumpingSelector(DefaultSelector):  # type: ignore[misc, valid-type]
-    """A selector that moves `now` on instead of waiting."""
+class VirtualTimeSelector(DefaultSelector):  # type: ignore[misc, valid-type]
+    """A selector that advances `now` instead of waiting."""
 
     now = 0.0
     settle = SETTLE_SECONDS
 
     def select(self, timeout: float | None = None) -> list[tuple[SelectorKey, int]]:
-        """Return real events, or jump to the next timer."""
+        """Return I/O events, or advance `now` by `timeout` if there are none."""
         events = super().select(0)
         if not events and timeout != 0 and self.settle:
             events = super().select(self.settle)
@@ -35,31 +35,32 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """An event loop on the jumping clock."""
+    """An event loop whose clock is virtual time."""
 
     def __init__(self, settle: float = SETTLE_SECONDS) -> None:
         """Start at time 0.
 
-        Parameters: `settle` in real seconds; 0 where there are no real streams.
+        Parameters: `settle`, the real seconds to wait for I/O events before the clock
+        advances; 0 if there are no real streams.
         """
-        self._jumping = JumpingSelector()
-        self._jumping.settle = settle
-        super().__init__(self._jumping)
+        self._virtual_selector = VirtualTimeSelector()
+        self._virtual_selector.settle = settle
+        super().__init__(self._virtual_selector)
 
     def time(self) -> float:
         """Return the virtual time in seconds."""
-        return self._jumping.now
+        return self._virtual_selector.now
 
     def run(self, work: Coroutine[Any, Any, T]) -> T:
-        """Run `work` to its end."""
+        """Run `work` to completion and return its result."""
         return self.run_until_complete(work)
 
     def pass_time(self, seconds: float) -> None:
-        """Let `seconds` of virtual time pass."""
+        """Advance virtual time by `seconds`."""
         self.run(asyncio.sleep(seconds))
 
     def end(self) -> None:
-        """Cancel what is left and close."""
+        """Cancel the remaining tasks and close the loop."""
         tasks = asyncio.all_tasks(self)
         for task in tasks:
             task.cancel()
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -1,4 +1,4 @@
-"""The platform's worker: the calls listed on the platform page."""
+"""The HTTP API of the stand-in for the platform's worker, run as a process."""
 
 import asyncio
 import math
@@ -10,8 +10,8 @@
 import msgspec
 
 from standins.serving import (
+    FaultInjectingHandler,
     FaultsHandler,
-    FaultyHandler,
     Record,
     RecordHandler,
     listen,
@@ -26,46 +26,46 @@
 
 
 class LeasesRequest(msgspec.Struct, forbid_unknown_fields=True):
-    """Lengthen leases."""
+    """Extend the leases of tasks."""
 
     lease_until_by_id: dict[str, float]
 
 
 class ThrottleRequest(msgspec.Struct, forbid_unknown_fields=True):
-    """Let a task use only a share of its cores."""
+    """Limit a task to a share of its cores."""
 
     share: float
 
 
 class StopRequest(msgspec.Struct, forbid_unknown_fields=True):
-    """Stop a task, taking a checkpoint first if asked."""
+    """Stop a task, after a checkpoint if requested."""
 
     checkpoint: bool = False
 
 
-class WorkerHandler(FaultyHandler):
-    """A call of the worker."""
+class WorkerHandler(FaultInjectingHandler):
+    """The base class of the worker's handlers."""
 
     worker: Worker
 
     async def prepare(self) -> None:
-        """Suffer the faults, then settle what fell due."""
+        """Apply the fault switches, then end the tasks that are due."""
         await super().prepare()
-        self.worker.settle(boot_time())
+        self.worker.end_due_tasks(boot_time())
 
     def refuse(self, status: int, code: str) -> None:
-        """Answer with a code."""
+        """Answer with an error code."""
         self.answer({"code": code}, status)
 
     def answer_change(self, body: Any, status: int = 200) -> None:
-        """Answer a call that took effect, or lose that answer."""
+        """Answer a completed change, or lose that answer if the switches say so."""
         if self.loses_answer():
             self.drop()
         else:
             self.answer(body, status)
 
-    def read(self, kind: type[Any]) -> Any:
-        """Return the body as a `kind`, or refuse it and return nothing."""
+    def decode_body(self, kind: type[Any]) -> Any:
+        """Return the body decoded as `kind`, or refuse it and return `None`."""
         try:
             return msgspec.json.decode(self.request.body or b"{}", type=kind)
         except msgspec.MsgspecError as error:
@@ -74,7 +74,7 @@
 
 
 class CapacityHandler(WorkerHandler):
-    """What the worker holds."""
+    """`GET` shows the worker's capacity."""
 
     def get(self) -> None:
         """Show the capacity."""
@@ -89,24 +89,24 @@
 
 
 class TasksHandler(WorkerHandler):
-    """Every task not yet forgotten."""
+    """`GET` shows every task that was not deleted."""
 
     def get(self) -> None:
-        """Show the tasks."""
+        """Show the tasks, ended ones too."""
         tasks = self.worker.task_by_id.values()
-        self.answer({"tasks": [task.shown() for task in tasks]})
+        self.answer({"tasks": [task.to_dict() for task in tasks]})
 
 
 class TaskHandler(WorkerHandler):
-    """Start a task, or forget an ended one."""
+    """`PUT` starts a task, `DELETE` removes an ended one."""
 
     def put(self, task_id: str) -> None:
         """Start the task; idempotent by its id."""
-        standing = self.worker.task_by_id.get(task_id)
-        if standing:
-            self.answer_change(standing.shown())
+        existing = self.worker.task_by_id.get(task_id)
+        if existing:
+            self.answer_change(existing.to_dict())
             return
-        request = self.read(StartRequest)
+        request = self.decode_body(StartRequest)
         if request is not None:
             self._start(task_id, request)
 
@@ -121,10 +121,10 @@
             self.refuse(507, "full")
         else:
             task = self.worker.start(task_id, request, now)
-            self.answer_change(task.shown(), 201)
+            self.answer_change(task.to_dict(), 201)
 
     def delete(self, task_id: str) -> None:
-        """Forget the task."""
+        """Remove the task; refuse it while the task is running."""
         task = self.worker.task_by_id.get(task_id)
         if task and task.state is State.RUNNING:
             self.refuse(409, "running")
@@ -138,11 +138,11 @@
 
 
 class LeasesHandler(WorkerHandler):
-    """Lengthen leases."""
+    """`POST` extends leases."""
 
     def post(self) -> None:
-        """Lengthen, and answer the ids that are unknown."""
-        request = self.read(LeasesRequest)
+        """Extend the leases of running tasks; return the unknown ids."""
+        request = self.decode_body(LeasesRequest)
         if request is None:
             return
         unknown = []
@@ -156,10 +156,10 @@
 
 
 class ActionHandler(WorkerHandler):
-    """Checkpoint, throttle or stop one task."""
+    """`POST` checkpoints, throttles or stops one task."""
 
     def post(self, task_id: str, action: str) -> None:
-        """Act on the task; stopping an ended one again shows it."""
+        """Execute the action; to stop an ended task only shows it."""
         task = self.worker.task_by_id.get(task_id)
         if task is None:
             self.refuse(404, "unknown")
@@ -174,7 +174,7 @@
             self.answer_change({"checkpoint": taken})
 
     def _stop(self, task: Task) -> None:
-        request = self.read(StopRequest)
+        request = self.decode_body(StopRequest)
         if request is None:
             return
         now = boot_time()
@@ -182,24 +182,24 @@
             if request.checkpoint:
                 task.take_checkpoint(now)
             self.worker.end(task, State.STOPPED, now)
-        self.answer_change(task.shown())
+        self.answer_change(task.to_dict())
 
     def _throttle(self, task: Task) -> None:
-        request = self.read(ThrottleRequest)
+        request = self.decode_body(ThrottleRequest)
         if request is None:
             return
         if not 0.05 <= request.share <= 1.0:
             self.refuse(400, "invalid")
             return
         task.set_throttle(request.share, boot_time())
-        self.answer_change(task.shown())
+        self.answer_change(task.to_dict())
 
 
 class UsageHandler(WorkerHandler):
-    """Usage, lagged."""
+    """`GET` shows the resource usage."""
 
     def get(self) -> None:
-        """Show the usage as of the lag ago."""
+        """Show the usage as it was `usage_lag` seconds ago."""
         self.answer(self.worker.usage(boot_time()))
 
 
--- a/standins/worker_tasks.py
+++ b/standins/worker_tasks.py
@@ -1,7 +1,7 @@
-"""The tasks of the worker stand-in, as timers in place of processes.
+"""The tasks of the worker stand-in, simulated by timers instead of processes.
 
-Tasks go on by the clock while the worker process is frozen, as real tasks would,
-so an end is recorded at the instant it fell due and not when it was noticed.
+Real tasks continue while their worker process is frozen. So a task ends at the time
+when it was due, and that time is recorded, not the time when the worker notices.
 """
 
 import asyncio
@@ -31,14 +31,17 @@
 
 
 class Size(msgspec.Struct):
-    """What a task or a service uses."""
+    """The resources that a task or a service uses."""
 
     cores: float
     memory_mb: float
 
 
 class Faults(CommonFaults):
-    """Fault switches of the worker, and what its VM's services use."""
+    """Fault switches of the worker, and the usage of the services on its VM.
+
+    `noisy` multiplies the measured usage of tasks.
+    """
 
     fail_everything: bool = False
     noisy: float = 1.0
@@ -46,7 +49,7 @@
 
 
 class StartRequest(msgspec.Struct, forbid_unknown_fields=True):
-    """Start a task."""
+    """A request to start a task."""
 
     command: str
     cores: Cores
@@ -57,10 +60,10 @@
 
 
 class Task:
-    """One task as a timer."""
+    """A task, simulated by a timer."""
 
     def __init__(self, task_id: str, request: StartRequest, now: float) -> None:
-        """Start to run, from the checkpoint where there is one."""
+        """Start at `now`, from the checkpoint if the request has one."""
         self.id = task_id
         self.request = request
         self.size = Resources(request.cores, request.memory_mb, request.accelerators)
@@ -74,7 +77,7 @@
 
     @property
     def finish_at(self) -> float:
-        """The instant at which the command ends by itself."""
+        """The time at which the command ends by itself."""
         name, _, argument = self.request.command.partition(":")
         if name == "hold":
             return math.inf
@@ -86,7 +89,7 @@
 
     @property
     def used(self) -> Size:
-        """What the task really uses: its size, or what `sleep:S:CORES:MB` says."""
+        """The actual usage: its size, or the numbers in `sleep:SECONDS:CORES:MB`."""
         _, _, argument = self.request.command.partition(":")
         parts = argument.split(":")
         if len(parts) == 3:
@@ -94,22 +97,22 @@
         return Size(self.size.cores * self.throttle, self.size.memory_mb)
 
     def set_throttle(self, share: float, now: float) -> None:
-        """Go on at another speed."""
+        """Run at `share` of the full speed from `now` on."""
         self._advance(now)
         self.throttle = share
 
     def take_checkpoint(self, now: float) -> str:
-        """Take a checkpoint: the progress made."""
+        """Store the progress in seconds as the checkpoint, and return it."""
         self._advance(now)
         self.checkpoint = f"{self._progress:.3f}"
         return self.checkpoint
 
     def end(self, state: State, exit_code: int | None = None) -> None:
-        """End the task."""
+        """Set the final state and exit code."""
         self.state = state
         self.exit_code = exit_code
 
-    def shown(self) -> dict[str, Any]:
+    def to_dict(self) -> dict[str, Any]:
         """Return the task's JSON form."""
         shown = {
             "id": self.id,
@@ -131,7 +134,7 @@
 
 
 class Worker:
-    """All state of the worker stand-in."""
+    """The tasks, capacity and usage samples of the worker."""
 
     def __init__(self, capacity: Resources, usage_lag: float, record: Record) -> None:
         """Start without tasks."""
@@ -148,9 +151,9 @@
         task = Task(task_id, request, now)
         self.task_by_id[task_id] = task
         self.record.add(now, "start", task_id, State.RUNNING.value)
-        if self.switches.now.fail_everything:
+        if self.switches.current.fail_everything:
             self.end(task, State.FAILED, now, exit_code=1)
-        self.settle(now)
+        self.end_due_tasks(now)
         return task
 
     def end(
@@ -161,17 +164,17 @@
         self.record.add(at, "end", task.id, state.value)
 
     def running(self) -> list[Task]:
-        """Return the tasks that run."""
+        """Return the running tasks."""
         tasks = self.task_by_id.values()
         return [task for task in tasks if task.state is State.RUNNING]
 
     def has_room(self, size: Resources) -> bool:
-        """Tell whether a task of that size fits beside those that run."""
+        """Return whether a task of `size` fits into the free capacity."""
         taken = sum((task.size for task in self.running()), Resources())
         return size.fits(self.capacity - taken)
 
-    def settle(self, now: float) -> None:
-        """End the tasks that have finished or whose lease has lapsed by `now`."""
+    def end_due_tasks(self, now: float) -> None:
+        """End the tasks that have finished or whose lease has expired by `now`."""
         for task in self.running():
             finish_at = task.finish_at
             if finish_at <= min(now, task.lease_until):
@@ -182,9 +185,9 @@
                 self.end(task, State.LAPSED, task.lease_until)
 
     def usage(self, now: float) -> dict[str, Any]:
-        """Return the usage as of the lag ago."""
+        """Return the usage as it was `usage_lag` seconds before `now`."""
         then = now - self.usage_lag
-        self._forget_before(then)
+        self._drop_samples_before(then)
         known = bool(self._samples) and self._samples[0][0] <= then
         measured_at, tasks, services = self._samples[0] if known else (then, {}, {})
         return {
@@ -195,16 +198,16 @@
         }
 
     async def tick(self) -> None:
-        """End tasks and sample their usage for as long as the worker runs."""
+        """End due tasks and sample their usage until the process ends."""
         while True:
             now = boot_time()
-            self.settle(now)
+            self.end_due_tasks(now)
             if not self._samples or now - self._samples[-1][0] >= SAMPLE_SECONDS:
                 self._sample(now)
             await asyncio.sleep(TICK_SECONDS)
 
     def _sample(self, now: float) -> None:
-        faults = self.switches.now
+        faults = self.switches.current
         tasks = {
             task.id: Size(
                 task.used.cores * faults.noisy, task.used.memory_mb * faults.noisy
@@ -212,8 +215,8 @@
             for task in self.running()
         }
         self._samples.append((now, tasks, faults.services_by_name))
-        self._forget_before(now - self.usage_lag)
+        self._drop_samples_before(now - self.usage_lag)
 
-    def _forget_before(self, then: float) -> None:
+    def _drop_samples_before(self, then: float) -> None:
         while len(self._samples) > 1 and self._samples[1][0] <= then:
             self._samples.popleft()
