--- a/features/steps/standins_steps.py
+++ b/features/steps/standins_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the stand-ins and the process harness."""
+"""Steps for the stand-ins and the process harness."""
 
 import json
 import tempfile
@@ -11,8 +11,8 @@
 from standins.processes import HttpError, Process, Stream, http, wait_for
 from wagtailcleat.clock import boot_time
 
-TIMEOUT = 10
-LONG_LEASE = 3600
+TIMEOUT_SECONDS = 10
+LONG_LEASE_SECONDS = 3600
 
 
 def _folder(context):
@@ -29,41 +29,41 @@
     return process
 
 
-def _text(text):
+def _base64(text):
     return b64encode(text.encode()).decode()
 
 
-def _get(store, key):
-    body = {"key": _text(key)}
+def _read_key(store, key):
+    body = {"key": _base64(key)}
     answer = http("POST", f"{store.url}/v3/kv/range", body).json()
     return answer["kvs"][0] if "kvs" in answer else None
 
 
 def _put(store, key, compare=(), lease="0"):
-    put = {"key": _text(key), "value": _text("value"), "lease": lease}
+    put = {"key": _base64(key), "value": _base64("value"), "lease": lease}
     body = {"compare": list(compare), "success": [{"request_put": put}]}
     return http("POST", f"{store.url}/v3/kv/txn", body)
 
 
 def _put_new(store, key):
-    absent = {"key": _text(key), "target": "VERSION", "version": "0"}
+    absent = {"key": _base64(key), "target": "VERSION", "version": "0"}
     return _put(store, key, [absent])
 
 
 def _open_watch(context, key, **create):
-    request = {"create_request": {"key": _text(key)} | create}
+    request = {"create_request": {"key": _base64(key)} | create}
     context.stream = Stream("POST", f"{context.store.url}/v3/watch", request)
     context.add_cleanup(context.stream.close)
-    wait_for(lambda: context.stream.lines, TIMEOUT, "the watch is created")
+    wait_for(lambda: context.stream.lines, TIMEOUT_SECONDS, "the watch is created")
 
 
-def _events(context):
+def _watch_events(context):
     results = [json.loads(line)["result"] for line in list(context.stream.lines)]
     return [event for result in results for event in result.get("events", [])]
 
 
-def _kinds(context):
-    return [event.get("type", "PUT") for event in _events(context)]
+def _event_types(context):
+    return [event.get("type", "PUT") for event in _watch_events(context)]
 
 
 @given("a store")
@@ -107,7 +107,7 @@
 @then('only the first transaction succeeded and "{key}" has version {version}')
 def step_first_only(context, key, version):
     assert "succeeded" not in context.second, context.second
-    assert _get(context.store, key)["version"] == version
+    assert _read_key(context.store, key)["version"] == version
 
 
 @when('"{key}" is put under a lease of {ttl:d} second')
@@ -118,14 +118,14 @@
 
 
 @then('the watch sees a PUT and then a DELETE of "{key}"')
-def step_sees_both(context, key):
-    wait_for(lambda: len(_kinds(context)) == 2, TIMEOUT, "two events")
-    assert _kinds(context) == ["PUT", "DELETE"]
-    assert {e["kv"]["key"] for e in _events(context)} == {_text(key)}
-    assert _get(context.store, key) is None
+def step_put_and_delete(context, key):
+    wait_for(lambda: len(_event_types(context)) == 2, TIMEOUT_SECONDS, "two events")
+    assert _event_types(context) == ["PUT", "DELETE"]
+    assert {e["kv"]["key"] for e in _watch_events(context)} == {_base64(key)}
+    assert _read_key(context.store, key) is None
 
 
-@then("renewing the lease answers no TTL")
+@then("renewing the lease returns no TTL")
 def step_renew_gone(context):
     url = f"{context.store.url}/v3/lease/keepalive"
     answer = http("POST", url, {"ID": context.lease}).json()
@@ -134,8 +134,8 @@
 
 @then('the watch sees a PUT of "{key}"')
 def step_sees_put(context, key):
-    wait_for(lambda: _kinds(context) == ["PUT"], TIMEOUT, "one PUT")
-    kv = _events(context)[0]["kv"]
+    wait_for(lambda: _event_types(context) == ["PUT"], TIMEOUT_SECONDS, "one PUT")
+    kv = _watch_events(context)[0]["kv"]
     assert b64decode(kv["key"]).decode() == key
     assert b64decode(kv["value"]) == b"value"
 
@@ -151,23 +151,23 @@
 
 @then('"{key}" has version {version}')
 def step_version(context, key, version):
-    assert _get(context.store, key)["version"] == version
+    assert _read_key(context.store, key)["version"] == version
 
 
 @when("the store goes down")
-def step_down(context):
+def step_store_down(context):
     context.store.faults(down=True)
 
 
 @then('reading "{key}" is refused with status {status:d} and code {code:d}')
 def step_refused(context, key, status, code):
-    response = http("POST", f"{context.store.url}/v3/kv/range", {"key": _text(key)})
+    response = http("POST", f"{context.store.url}/v3/kv/range", {"key": _base64(key)})
     assert (response.status, response.json()["code"]) == (status, code)
 
 
 @then("the watch has ended")
 def step_watch_ended(context):
-    wait_for(lambda: context.stream.ended, TIMEOUT, "the watch is cut")
+    wait_for(lambda: context.stream.ended, TIMEOUT_SECONDS, "the watch is cut")
 
 
 @when("{count:d} writes are made in a row")
@@ -184,25 +184,25 @@
 
 @then("every write that was not refused is in the record")
 def step_record_complete(context):
-    taken = [n for n, r in enumerate(context.responses) if r.status == 200]
+    accepted = [n for n, r in enumerate(context.responses) if r.status == 200]
     written = [row[1] for row in context.store.record()["writes"]]
-    assert written == [f"k-{n}" for n in taken], written
+    assert written == [f"k-{n}" for n in accepted], written
 
 
-@then("a value of {over:d} bytes is refused and one of {fits:d} is taken")
+@then("a value of {over:d} bytes is refused and one of {fits:d} is accepted")
 def step_value_limit(context, over, fits):
     def put(size):
         value = b64encode(b"x" * size).decode()
-        operation = {"request_put": {"key": _text("large"), "value": value}}
+        operation = {"request_put": {"key": _base64("large"), "value": value}}
         return http("POST", f"{context.store.url}/v3/kv/txn", {"success": [operation]})
 
     assert (put(over).status, put(fits).status) == (400, 200)
 
 
-@then("a transaction of {over:d} operations is refused and one of {fits:d} is taken")
+@then("a transaction of {over:d} operations is refused and one of {fits:d} is accepted")
 def step_txn_limit(context, over, fits):
     def put(count):
-        keys = [_text(f"k-{n}") for n in range(count)]
+        keys = [_base64(f"k-{n}") for n in range(count)]
         operations = [{"request_put": {"key": key}} for key in keys]
         return http("POST", f"{context.store.url}/v3/kv/txn", {"success": operations})
 
@@ -211,7 +211,7 @@
 
 def _start_task(context, task_id, **changes):
     body = {"command": "hold", "cores": 1, "memory_mb": 100}
-    body["lease_until"] = boot_time() + LONG_LEASE
+    body["lease_until"] = boot_time() + LONG_LEASE_SECONDS
     url = f"{context.worker.url}/tasks/{task_id}"
     return http("PUT", url, body | changes)
 
@@ -221,7 +221,7 @@
     return next(task for task in tasks if task["id"] == task_id)
 
 
-def _rows(context, kind):
+def _record_rows(context, kind):
     rows = context.worker.record()["starts_and_ends"]
     return [row for row in rows if row[1] == kind]
 
@@ -279,18 +279,20 @@
 
 
 @then(
-    'task "{task_id}" becomes "{state}" not before its lease'
-    " and its end is recorded at it"
+    'task "{task_id}" becomes "{state}" not before its lease ends,'
+    " which is its recorded end"
 )
 def step_lapses(context, task_id, state):
-    _wait_for_state(context, task_id, state, TIMEOUT)
+    _wait_for_state(context, task_id, state, TIMEOUT_SECONDS)
     assert boot_time() >= context.lease_until
-    assert _rows(context, "end") == [[context.lease_until, "end", task_id, state]]
+    assert _record_rows(context, "end") == [
+        [context.lease_until, "end", task_id, state]
+    ]
 
 
-@then('lengthening the lease of "{task_id}" does not revive it')
-def step_no_revival(context, task_id):
-    leases = {task_id: boot_time() + LONG_LEASE, "t-unknown": 1}
+@then('extending the lease of "{task_id}" does not restart it')
+def step_no_restart(context, task_id):
+    leases = {task_id: boot_time() + LONG_LEASE_SECONDS, "t-unknown": 1}
     url = f"{context.worker.url}/leases"
     answer = http("POST", url, {"lease_until_by_id": leases}).json()
     assert answer == {"unknown": ["t-unknown"]}, answer
@@ -298,7 +300,7 @@
     assert _task(context, task_id)["lease_until"] == context.lease_until
 
 
-@then('starting "{task_id}" under a lease that has passed is refused as "{code}"')
+@then('starting "{task_id}" under an expired lease is refused as "{code}"')
 def step_refuse_lapsed(context, task_id, code):
     response = _start_task(context, task_id, lease_until=boot_time())
     assert (response.status, response.json()["code"]) == (409, code)
@@ -321,7 +323,7 @@
 @then("the second start answers {status:d} and one start is recorded")
 def step_one_start(context, status):
     assert context.response.status == status, context.response
-    assert len(_rows(context, "start")) == 1
+    assert len(_record_rows(context, "start")) == 1
 
 
 @when('task "{task_id}" takes all cores')
@@ -332,7 +334,7 @@
 @then(
     'starting "{second}" with 1 core is refused as "{code}" until "{first}" is stopped'
 )
-def step_full(context, second, code, first):
+def step_capacity(context, second, code, first):
     response = _start_task(context, second)
     assert (response.status, response.json()["code"]) == (507, code)
     url = f"{context.worker.url}/tasks/{first}/stop"
@@ -349,13 +351,13 @@
 
 
 @then('task "{task_id}" becomes "{state}" within {seconds:d} seconds')
-def step_becomes(context, task_id, state, seconds):
+def step_task_state(context, task_id, state, seconds):
     _wait_for_state(context, task_id, state, seconds)
 
 
-@then('the usage shows "{task_id}" only as of an instant after its start')
+@then('the usage includes "{task_id}" only in measurements after its start')
 def step_usage(context, task_id):
-    started_at = _rows(context, "start")[0][0]
+    started_at = _record_rows(context, "start")[0][0]
 
     def usage():
         return http("GET", f"{context.worker.url}/usage").json()
@@ -366,7 +368,7 @@
             assert task_id not in seen["tasks_by_id"], seen
         return seen if task_id in seen["tasks_by_id"] else None
 
-    shown = wait_for(shown_usage, TIMEOUT, "usage of the task")
+    shown = wait_for(shown_usage, TIMEOUT_SECONDS, "usage of the task")
     assert boot_time() - shown["measured_at"] >= shown["lag_seconds"]
     assert shown["tasks_by_id"][task_id] == {"cores": 1, "memory_mb": 100}
 
@@ -397,7 +399,7 @@
     assert record["runs"][0][1:] == ["POST", "/holds", "r-1"]
 
 
-@then("a cut answer is seen as not whole")
+@then("a truncated answer is reported as incomplete")
 def step_cut_body(context):
     context.endpoint.faults(cut_body=True)
     try:
@@ -420,7 +422,7 @@
 def step_open_events(context):
     context.stream = Stream("GET", f"{context.url}/events?every=0.02")
     context.add_cleanup(context.stream.close)
-    wait_for(lambda: context.stream.lines, TIMEOUT, "the first event")
+    wait_for(lambda: context.stream.lines, TIMEOUT_SECONDS, "the first event")
 
 
 @when("the link goes silent")
@@ -432,11 +434,11 @@
     "the stream receives nothing more while a new request through the link is answered"
 )
 def step_nothing_more(context):
-    swallowed = context.link.record()["swallowed_bytes"]
+    discarded = context.link.record()["swallowed_bytes"]
     received = len(context.stream.lines)
     wait_for(
-        lambda: context.link.record()["swallowed_bytes"] > swallowed + 100,
-        TIMEOUT,
+        lambda: context.link.record()["swallowed_bytes"] > discarded + 100,
+        TIMEOUT_SECONDS,
         "the link swallows events",
     )
     assert len(context.stream.lines) == received
@@ -449,13 +451,13 @@
 
 
 @when("the link holds bytes back while a request is made")
-def step_hold(context):
+def step_hold_bytes(context):
     context.link.faults(hold=True)
     pool = ThreadPoolExecutor(1)
     context.add_cleanup(pool.shutdown)
     context.pending = pool.submit(http, "GET", f"{context.url}/holds")
     opened = "the held connection is open"
-    wait_for(lambda: context.link.record()["open"] == 2, TIMEOUT, opened)
+    wait_for(lambda: context.link.record()["open"] == 2, TIMEOUT_SECONDS, opened)
     assert "/holds" not in context.endpoint.record()["count_by_path"]
 
 
@@ -463,7 +465,7 @@
 def step_released(context):
     assert not context.pending.done()
     context.link.faults()
-    assert context.pending.result(TIMEOUT).status == 200
+    assert context.pending.result(TIMEOUT_SECONDS).status == 200
 
 
 @when("it is frozen")
@@ -483,7 +485,7 @@
 
 
 @then("it exits with {code:d} when asked to stop")
-def step_exit(context, code):
+def step_terminate(context, code):
     assert context.process.rss_mb() > 1
     assert context.process.terminate() == code
     assert context.process.stderr.read_text() == ""
--- a/features/steps/standins_store_steps.py
+++ b/features/steps/standins_store_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the state of the platform's store stand-in, on virtual time."""
+"""Steps for the state of the platform store's stand-in, on virtual time."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
 KEY = "op/config"
 
 
-@given("a store of the platform in this process")
+@given("a platform store in this process")
 def step_store(context):
     context.loop = VirtualLoop()
     context.add_cleanup(context.loop.end)
@@ -30,7 +30,8 @@
         loop = asyncio.get_running_loop()
         ends_at = loop.time() + seconds
         watch = asyncio.create_task(context.state.changes(PREFIX, 0, seconds))
-        # The watch sets its own timer for this instant first.
+        # The watch must set its own timer for this instant first, so that it times out
+        # before the change.
         await asyncio.sleep(0)
         loop.call_at(ends_at, put, context.state)
         return await watch
@@ -38,7 +39,7 @@
     context.shown, context.revision = context.loop.run(watched())
 
 
-@then("the change is shown by that watch, or by the next from the revision it named")
+@then("the change is returned by that watch, or by the next from its revision")
 def step_shown(context):
     following = context.state.changes(PREFIX, context.revision, 1.0)
     shown = [*context.shown, *context.loop.run(following)[0]]
--- a/standins/cluster.py
+++ b/standins/cluster.py
@@ -290,13 +290,13 @@
             "seeds": self._seeds,
             "timing": self._timing,
         }
-        merged = shared | settings
-        path = self.folder / f"{merged['node']}.json"
-        path.write_text(json.dumps(merged))
-        process = self._add(str(merged["node"]), module, "--settings", str(path))
+        whole = shared | settings
+        path = self.folder / f"{whole['node']}.json"
+        path.write_text(json.dumps(whole))
+        process = self._add(str(whole["node"]), module, "--settings", str(path))
         # A restarted program must use the ports that other programs have as seeds.
-        ports = {name: process.ready[name] for name in merged if name.endswith("_port")}
-        path.write_text(json.dumps(merged | ports))
+        ports = {name: process.ready[name] for name in whole if name.endswith("_port")}
+        path.write_text(json.dumps(whole | ports))
         return process
 
     def _record_killed(self, vm: str) -> None:
