--- a/features/steps/batch_fuzz_steps.py
+++ b/features/steps/batch_fuzz_steps.py
@@ -92,7 +92,7 @@
         spec = JobSpec(
             job, TEAM.name, shard, tasks, task, 0.0, False, "", LONG_DEADLINE_SECONDS
         )
-        answer = self.deployment.order(vm, shard, SubmitJob(spec))
+        answer = self.deployment.send_to_owner(vm, shard, SubmitJob(spec))
         if isinstance(answer, JobAccount):
             self.accepted.setdefault(job, (tasks, shard))
             self.refused.discard(job)
@@ -109,7 +109,7 @@
         if vm in self.deployment.agent_by_vm:
             shard = self.accepted[job][1]
             self.cancelled.add(job)
-            self.deployment.order(vm, shard, CancelJob(job, shard))
+            self.deployment.send_to_owner(vm, shard, CancelJob(job, shard))
 
     @precondition(lambda self: len(self._live()) > 1)
     @rule(data=st.data(), vm_too=st.booleans())
--- a/features/steps/batch_large_steps.py
+++ b/features/steps/batch_large_steps.py
@@ -77,5 +77,5 @@
 
 @then("a third job of {tasks:d} tasks is refused as not run")
 def step_refused(context, tasks):
-    answer = context.deployment.order("vm-1", SHARD, SubmitJob(spec(9, tasks)))
+    answer = context.deployment.send_to_owner("vm-1", SHARD, SubmitJob(spec(9, tasks)))
     assert answer.code == "not_run", answer
--- a/features/steps/requests_steps.py
+++ b/features/steps/requests_steps.py
@@ -529,7 +529,7 @@
 def step_watcher_resumes(context):
     (watcher,) = context.watchers
     assert watcher.ended
-    assert watcher.lines[-1] == "" and not watcher._rest, watcher.lines[-3:]
+    assert watcher.lines[-1] == "" and not watcher._partial_line, watcher.lines[-3:]
     seen = event_ids(watcher)
     other = open_watcher(context, entries(context)[1], seen[-1])
     wait_for(
--- a/standins/callers.py
+++ b/standins/callers.py
@@ -57,7 +57,7 @@
         self, method: str, path: str, body: bytes = b"", **headers: str
     ) -> CallResult:
         """Make a call on the keep-alive connection; return an error as a result."""
-        seen = CallResult(path, entry=self.entry.name)
+        result = CallResult(path, entry=self.entry.name)
         try:
             if self._connection is None:
                 port = self.entry.ready["http_port"]
@@ -67,19 +67,19 @@
                 self._connection.connect()
         except OSError:
             self._connection = None
-            seen.error = "not connected"
-            return seen
+            result.error = "not connected"
+            return result
         try:
             names = {k.replace("_", "-"): v for k, v in headers.items()}
             self._connection.request(method, path, body or None, names)
             answer = self._connection.getresponse()
-            seen.status, seen.body = answer.status, answer.read()
+            result.status, result.body = answer.status, answer.read()
             if answer.getheader("Connection") == "close":
                 self.close()
         except (OSError, http.client.HTTPException) as error:
-            seen.error = type(error).__name__
+            result.error = type(error).__name__
             self.close()
-        return seen
+        return result
 
     def close(self) -> None:
         """Close the connection."""
@@ -124,9 +124,9 @@
             calls += 1
             caller = callers[number % len(callers)]
             path = f"{start}-{calls}{self._query}"
-            seen = caller.call("POST", path, b"hold")
-            self.seen.append(seen)
-            if seen.error == "not connected":
+            result = caller.call("POST", path, b"hold")
+            self.seen.append(result)
+            if result.error == "not connected":
                 number += 1
             time.sleep(PAUSE_SECONDS)
         for caller in callers:
@@ -139,11 +139,11 @@
     return Counter(path for _, _, path, _ in rows)
 
 
-def find_false_answers(cluster: Cluster, seen: list[CallResult]) -> list[str]:
+def find_false_answers(cluster: Cluster, results: list[CallResult]) -> list[str]:
     """Return a sentence for each answer that contradicts the endpoints' records."""
     runs = count_runs(cluster)
     found = []
-    for call in seen:
+    for call in results:
         path = call.path.partition("?")[0].removeprefix(f"/services/{SERVICE}")
         count = runs[path]
         if call.status == 200 and (
--- a/standins/in_process_agents.py
+++ b/standins/in_process_agents.py
@@ -98,7 +98,9 @@
         """Apply an accepted configuration at all agents that are not isolated."""
         self.loop.run(self._adopt(configuration))
 
-    def order(self, vm: str, shard: int, message: AnyMessage) -> AnyMessage | Lost:
+    def send_to_owner(
+        self, vm: str, shard: int, message: AnyMessage
+    ) -> AnyMessage | Lost:
         """Send a caller's message to the shard's owner through the agent of a VM."""
         node = self.agent_by_vm[vm].node
         owner = node.view.owner(shard)  # type: ignore[arg-type]
--- a/standins/keyspace.py
+++ b/standins/keyspace.py
@@ -53,7 +53,7 @@
     def __init__(self) -> None:
         """Start empty, at revision 1."""
         self.revision = 1
-        self.compacted = 0
+        self.compacted_revision = 0
         self.lease_by_id: dict[int, Lease] = {}
         self.on_commit: Callable[[list[Event], str], None] = lambda events, cause: None
         self._kv_by_key: dict[bytes, KeyValue] = {}
@@ -100,7 +100,7 @@
         self.revision += 1
         self._history.extend(events)
         while len(self._history) > HISTORY_LIMIT:
-            self.compacted = self._history.popleft().kv.mod_revision
+            self.compacted_revision = self._history.popleft().kv.mod_revision
         self.on_commit(events, cause)
 
     def since(self, revision: int) -> list[Event]:
--- a/standins/platform_worker.py
+++ b/standins/platform_worker.py
@@ -76,7 +76,7 @@
     lapsed: bool = True
     run_by_task: dict[str, Run] = field(default_factory=dict)
     last_closed_run_by_task: dict[str, int] = field(default_factory=dict)
-    ends: list[list[Any]] = field(default_factory=list)
+    unacknowledged_ends: list[list[Any]] = field(default_factory=list)
     last_end_number: int = 0
     record: Record = field(default_factory=Record)
     ended: asyncio.Event = field(default_factory=asyncio.Event)
@@ -86,14 +86,14 @@
         """Return the milliseconds since the worker started, its own clock."""
         return int((boot_time() - self.started_at) * MILLISECONDS)
 
-    def end(self, task: str, how: str) -> None:
-        """End the run of a task with the result `how`."""
+    def end(self, task: str, result: str) -> None:
+        """End the run of a task, such as with the result `done`."""
         ended = self.run_by_task.pop(task).run
         closed = self.last_closed_run_by_task.get(task, 0)
         self.last_closed_run_by_task[task] = max(closed, ended)
         self.last_end_number += 1
-        self.ends.append([self.last_end_number, task, ended, how, ""])
-        self.record.add("end", time.time(), self.instance, task, ended, how)
+        self.unacknowledged_ends.append([self.last_end_number, task, ended, result, ""])
+        self.record.add("end", time.time(), self.instance, task, ended, result)
         self.ended.set()
         self.ended = asyncio.Event()
 
@@ -228,11 +228,13 @@
             return
         self.extend_lease(body)
         seen = body.get("ackCursor", 0)
-        if any(end[0] <= seen for end in state.ends):
+        if any(end[0] <= seen for end in state.unacknowledged_ends):
             state.record.add("ack", time.time(), state.instance, "", seen, "")
-        state.ends = [end for end in state.ends if end[0] > seen]
+        state.unacknowledged_ends = [
+            end for end in state.unacknowledged_ends if end[0] > seen
+        ]
         wait = body.get("waitMs", 0) / MILLISECONDS
-        if wait and not state.ends:
+        if wait and not state.unacknowledged_ends:
             try:
                 async with asyncio.timeout(wait):
                     await state.ended.wait()
@@ -246,7 +248,7 @@
                 "running": [
                     [t, r.run, "", 50, 0] for t, r in state.run_by_task.items()
                 ],
-                "finished": state.ends[:MAX_ENDS_PER_ANSWER],
+                "finished": state.unacknowledged_ends[:MAX_ENDS_PER_ANSWER],
             }
         )
 
--- a/standins/store.py
+++ b/standins/store.py
@@ -295,7 +295,7 @@
         self.queue: asyncio.Queue[list[Event]] = asyncio.Queue()
         create: CreateWatch = self.call.create_request
         keyspace = self.store.keyspace
-        if 0 < create.start_revision <= keyspace.compacted:
+        if 0 < create.start_revision <= keyspace.compacted_revision:
             await self._cancel()
             return
         if create.start_revision:
@@ -312,7 +312,7 @@
         self.drop()
 
     async def _cancel(self) -> None:
-        compacted = str(self.store.keyspace.compacted)
+        compacted = str(self.store.keyspace.compacted_revision)
         await self._send(
             WatchResult(
                 header(self.store.keyspace), canceled=True, compact_revision=compacted
