--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measures of the decisions under load and faults: see docs/BENCH.md."""
+"""Benchmarks of routing, admission and scheduling: see docs/BENCH.md."""
--- a/bench/costs.py
+++ b/bench/costs.py
@@ -1,4 +1,6 @@
-"""What a request, a task, a connection cost, as slopes on real processes.
+"""Measures processor time and memory per request, task and connection.
+
+Each cost is the slope of a line through measurements on real processes.
 
 python -m bench.costs --json costs.json
 """
@@ -19,7 +21,7 @@
 from bench.fit import Line, fit
 from bench.load import drive
 from bench.profiles import TATRASTART, Profile
-from bench.real import TEAM, cluster_of, ready, scaled
+from bench.real import TEAM, cluster_of, scaled, wait_until_ready
 from bench.report import commit, write_json
 from bench.services import Arrival
 from standins.cluster import Cluster
@@ -28,27 +30,27 @@
 RATES = (40, 80, 160, 240)
 LOAD_SECONDS = 6.0
 SETTLE_SECONDS = 1.5
-TASKS = (40, 120, 240, 400)
-CONNECTIONS = (0, 250, 500, 1000)
-QUEUED = (0, 100, 200, 400)
-HELD_TASKS = (0, 2000, 4000, 8000)
-PATIENCE_SECONDS = 60.0
-WORK_SECONDS = 0.005
+TASK_COUNTS = (40, 120, 240, 400)
+CONNECTION_COUNTS = (0, 250, 500, 1000)
+QUEUED_REQUEST_COUNTS = (0, 100, 200, 400)
+PENDING_TASK_COUNTS = (0, 2000, 4000, 8000)
+TIMEOUT_SECONDS = 60.0
+REQUEST_WORK_SECONDS = 0.005
 
 Meter = Callable[[list[Process]], float]
 
 
-def cpu(processes: list[Process]) -> float:
-    """Return the processor seconds that processes have used."""
+def total_cpu_seconds(processes: list[Process]) -> float:
+    """Return the processor seconds that `processes` have used in total."""
     return sum(process.cpu_seconds() for process in processes)
 
 
-def rss(processes: list[Process]) -> float:
-    """Return the resident megabytes of processes."""
+def total_rss_mb(processes: list[Process]) -> float:
+    """Return the resident megabytes of `processes` in total."""
     return sum(process.rss_mb() for process in processes)
 
 
-def roles(cluster: Cluster) -> dict[str, list[Process]]:
+def processes_by_role(cluster: Cluster) -> dict[str, list[Process]]:
     """Return the processes of each role."""
     return {
         "entry": list(cluster.entry_by_node.values()),
@@ -57,81 +59,87 @@
 
 
 def request_costs(cluster: Cluster, urls: list[str]) -> dict[str, Line]:
-    """Return the processor seconds for each request, by role."""
+    """Return the processor seconds per request, by role."""
     points: dict[str, list[tuple[float, float]]] = {"entry": [], "agent": []}
     for rate in RATES:
         count = int(rate * LOAD_SECONDS)
-        coming = [Arrival(n, n / rate, WORK_SECONDS, True) for n in range(count)]
-        before = {role: cpu(found) for role, found in roles(cluster).items()}
-        asyncio.run(drive(urls, coming, 2.0, seed=rate))
-        for role, found in roles(cluster).items():
-            points[role].append((count, cpu(found) - before[role]))
-    return {role: fit(found) for role, found in points.items()}
+        load_arrivals = [
+            Arrival(n, n / rate, REQUEST_WORK_SECONDS, True) for n in range(count)
+        ]
+        before = {
+            role: total_cpu_seconds(processes)
+            for role, processes in processes_by_role(cluster).items()
+        }
+        asyncio.run(drive(urls, load_arrivals, 2.0, seed=rate))
+        for role, processes in processes_by_role(cluster).items():
+            points[role].append((count, total_cpu_seconds(processes) - before[role]))
+    return {role: fit(pairs) for role, pairs in points.items()}
 
 
 def task_costs(cluster: Cluster) -> dict[str, Line]:
-    """Return the processor seconds for each task start, of all agents together."""
+    """Return the processor seconds per task start, of all agents together."""
     points = []
-    for tasks in TASKS:
+    for tasks in TASK_COUNTS:
         name = f"starts-{tasks}"
-        before = cpu(roles(cluster)["agent"])
+        before = total_cpu_seconds(processes_by_role(cluster)["agent"])
         started = time.monotonic()
         _submit(cluster, name, tasks, "echo:x", 0.1)
         wait_for(
-            lambda n=name: _account(cluster, n)["state"] == "finished",
-            PATIENCE_SECONDS,
+            lambda n=name: _job_account(cluster, n)["state"] == "finished",
+            TIMEOUT_SECONDS,
             f"{name} is finished",
         )
-        # What agents use without any task goes off: the time is not the cost.
+        # Larger jobs take longer, so the agents' idle use over that time is subtracted:
+        # otherwise it would count as a cost of the tasks.
         seconds = time.monotonic() - started
-        used = cpu(roles(cluster)["agent"]) - before
-        points.append((tasks, used - _idle(cluster) * seconds))
+        used = total_cpu_seconds(processes_by_role(cluster)["agent"]) - before
+        points.append((tasks, used - _idle_cpu_rate(cluster) * seconds))
     return {"owner and agents": fit(points)}
 
 
 def connection_memory(cluster: Cluster) -> dict[str, Line]:
-    """Return the megabytes of the first entry for each idle connection."""
+    """Return the megabytes of the first entry per idle connection."""
     entry = cluster.entry
     port = entry.ready["http_port"]
     sockets: list[socket.socket] = []
     points = []
-    for count in CONNECTIONS:
+    for count in CONNECTION_COUNTS:
         while len(sockets) < count:
             sockets.append(socket.create_connection(("127.0.0.1", port)))
         time.sleep(SETTLE_SECONDS)
-        points.append((float(count), rss([entry])))
-    for each in sockets:
-        each.close()
+        points.append((float(count), total_rss_mb([entry])))
+    for connection in sockets:
+        connection.close()
     return {"entry": fit(points)}
 
 
 def queued_memory(cluster: Cluster, urls: list[str]) -> dict[str, Line]:
-    """Return the megabytes for each request that waits for its endpoint."""
+    """Return the megabytes per request that waits for its endpoint, by role."""
     points: dict[str, list[tuple[float, float]]] = {"entry": [], "agent": []}
-    for count in QUEUED:
-        coming = [Arrival(n, 0.0, 4.0, True) for n in range(count)]
+    for count in QUEUED_REQUEST_COUNTS:
+        load_arrivals = [Arrival(n, 0.0, 4.0, True) for n in range(count)]
         load = threading.Thread(
-            target=lambda c=coming: asyncio.run(drive(urls, c, 60.0, seed=1))
+            target=lambda c=load_arrivals: asyncio.run(drive(urls, c, 60.0, seed=1))
         )
         load.start()
         time.sleep(SETTLE_SECONDS * 2)
-        for role, found in roles(cluster).items():
-            points[role].append((float(count), rss(found)))
+        for role, processes in processes_by_role(cluster).items():
+            points[role].append((float(count), total_rss_mb(processes)))
         load.join()
-    return {role: fit(found) for role, found in points.items()}
+    return {role: fit(pairs) for role, pairs in points.items()}
 
 
 def task_memory(cluster: Cluster) -> dict[str, Line]:
-    """Return the megabytes of the owner for each task it holds."""
+    """Return the megabytes of the agents, the owner among them, per pending task."""
     points = []
-    held = 0
-    for count in HELD_TASKS:
-        if count > held:
-            # The team's quota is taken, so the tasks wait.
-            _submit(cluster, f"held-{count}", count - held, "sleep:600", 900.0)
-            held = count
+    submitted = 0
+    for count in PENDING_TASK_COUNTS:
+        if count > submitted:
+            # The team's quota is used up, so the tasks stay pending.
+            _submit(cluster, f"held-{count}", count - submitted, "sleep:600", 900.0)
+            submitted = count
         time.sleep(SETTLE_SECONDS)
-        points.append((float(count), rss(roles(cluster)["agent"])))
+        points.append((float(count), total_rss_mb(processes_by_role(cluster)["agent"])))
     return {"agents": fit(points)}
 
 
@@ -148,29 +156,31 @@
     body = json_text.dumps(job).encode()
 
     def accepted() -> bool:
-        return http("POST", _jobs(cluster), body).status == 201
+        return http("POST", _jobs_url(cluster), body).status == 201
 
-    wait_for(accepted, PATIENCE_SECONDS, f"{name} is accepted")
+    wait_for(accepted, TIMEOUT_SECONDS, f"{name} is accepted")
 
 
-def _account(cluster: Cluster, name: str) -> dict[str, Any]:
-    account: dict[str, Any] = http("GET", f"{_jobs(cluster)}/{name}").json()
+def _job_account(cluster: Cluster, name: str) -> dict[str, Any]:
+    account: dict[str, Any] = http("GET", f"{_jobs_url(cluster)}/{name}").json()
     return account
 
 
-def _jobs(cluster: Cluster) -> str:
+def _jobs_url(cluster: Cluster) -> str:
     port = cluster.entry.ready["http_port"]
     return f"http://127.0.0.1:{port}/teams/{TEAM}/jobs"
 
 
-def _idle(cluster: Cluster) -> float:
-    before = cpu(roles(cluster)["agent"])
+def _idle_cpu_rate(cluster: Cluster) -> float:
+    before = total_cpu_seconds(processes_by_role(cluster)["agent"])
     time.sleep(SETTLE_SECONDS)
-    return (cpu(roles(cluster)["agent"]) - before) / SETTLE_SECONDS
+    return (
+        total_cpu_seconds(processes_by_role(cluster)["agent"]) - before
+    ) / SETTLE_SECONDS
 
 
-def profile_of_costs() -> Profile:
-    """Return a deployment whose slots are never what limits."""
+def unlimited_profile() -> Profile:
+    """Return a deployment whose slots, connections and queue never limit the load."""
     from dataclasses import replace
 
     return replace(scaled(TATRASTART), slots=200, connections=400, queue=1000)
@@ -178,13 +188,15 @@
 
 def main(
     *,
-    json: Annotated[Path | None, cyclopts.Parameter(help="Write it here.")] = None,
+    json: Annotated[
+        Path | None, cyclopts.Parameter(help="File for the report as JSON.")
+    ] = None,
 ) -> int:
-    """Measure every slope once; the points and the greatest distance are shown."""
-    profile = profile_of_costs()
+    """Measure every slope once; print it with the base and the spread of the points."""
+    profile = unlimited_profile()
     lines: dict[str, Line] = {}
     with cluster_of(profile) as cluster:
-        urls = ready(cluster, profile)
+        urls = wait_until_ready(cluster, profile)
         steps: list[tuple[str, Callable[[], dict[str, Line]]]] = [
             ("processor seconds a request", lambda: request_costs(cluster, urls)),
             ("processor seconds a task start", lambda: task_costs(cluster)),
@@ -195,14 +207,14 @@
         for what, measure in steps:
             for role, line in measure().items():
                 lines[f"{what}, {role}"] = line
-                print(_shown(f"{what}, {role}", line), flush=True)
+                print(_format_line(f"{what}, {role}", line), flush=True)
     if json is not None:
-        shown = {what: line.shown() for what, line in lines.items()}
+        shown = {what: line.to_dict() for what, line in lines.items()}
         write_json(json, {"commit": commit(), "lines": shown})
     return 0
 
 
-def _shown(what: str, line: Line) -> str:
+def _format_line(what: str, line: Line) -> str:
     digits = 3 - math.floor(math.log10(abs(line.slope))) if line.slope else 3
     slope = f"{line.slope:.{max(0, digits)}f}"
     return f"{what}: {slope} (base {line.base:.3f}, spread {line.spread:.3f})"
--- a/bench/deployment.py
+++ b/bench/deployment.py
@@ -1,4 +1,8 @@
-"""A deployment's deciding parts in one process, on a clock handed down."""
+"""Builds a deployment in one process from the parts that route and admit requests.
+
+These parts are the product's own; the network and the endpoints below them are the
+models of `bench.fakes`. `bench.services` and `bench.batch` drive it on virtual time.
+"""
 
 import asyncio
 import random
@@ -43,34 +47,34 @@
 NO_LIMIT = 9_999
 SECRET = "a secret of the bench only"
 TEAM = "travel-desk"
-LEDGER_SWEEP_SECONDS = 1.0
+LEDGER_EXPIRY_SECONDS = 1.0
 
 
-class RecordNeverFull(EndpointRecord):
-    """A record that forgets refusals, for the baseline that always retries."""
+class RecordIgnoringRefusals(EndpointRecord):
+    """A record that ignores refusals, for the baseline that always retries."""
 
     def refusing(self, now: float) -> bool:
-        """Tell that no refusal stands."""
+        """Return that no refusal is in force."""
         return False
 
 
-class EndpointsNeverFull(Endpoints):
-    """Records that forget refusals."""
+class EndpointsIgnoringRefusals(Endpoints):
+    """Endpoint records that ignore refusals."""
 
     def record(self, node: NodeId) -> EndpointRecord:
         """Return the record of a node."""
-        return self.record_by_node.setdefault(node, RecordNeverFull())
+        return self.record_by_node.setdefault(node, RecordIgnoringRefusals())
 
 
 @dataclass
 class AgentModel:
-    """The parts of one agent that decide on service requests."""
+    """The parts of one agent that admit and run service requests."""
 
     member: Member
     services: Services
     endpoint: EndpointModel
     server: Server
-    closed_because: str = ""
+    closed_reason: str = ""
 
     @property
     def instance(self) -> ServiceInstance:
@@ -80,7 +84,7 @@
 
 @dataclass
 class EntryModel:
-    """The parts of one entry that decide on service requests."""
+    """The parts of one entry that route service requests."""
 
     view: View
     in_force: InForce
@@ -90,7 +94,7 @@
 
 @dataclass
 class Deployment:
-    """All agents by VM, and all entries."""
+    """A simulated deployment: all agents by VM, and all entries."""
 
     profile: Profile
     clock: Clock
@@ -101,18 +105,18 @@
     timing: Timing = Timing()
 
     def peers(self, zone: str) -> PeersModel:
-        """Return what a process in `zone` calls others by."""
+        """Return the peer connections of a process in `zone`."""
         return PeersModel(self.network, zone)
 
     def apply(self, configuration: Configuration) -> None:
-        """Bring a configuration in force at every entry."""
+        """Put a configuration in force at every entry."""
         for entry in self.entries:
             entry.in_force.adopt(configuration, self.clock())
 
-    async def sweep(self) -> None:
-        """Let ledgers forget, as each agent's check does."""
+    async def expire_ledgers(self) -> None:
+        """Expire ledger entries periodically, as each agent's check does."""
         while True:
-            await asyncio.sleep(LEDGER_SWEEP_SECONDS)
+            await asyncio.sleep(LEDGER_EXPIRY_SECONDS)
             for agent in self.agent_by_vm.values():
                 agent.services.ledger.expire(self.clock())
 
@@ -126,7 +130,8 @@
 ) -> Configuration:
     """Return the profile's inventory and rules.
 
-    Parameters: `services` stand on the VMs in turn, one on each VM.
+    Parameters: `services` is the number of services, which are assigned to the VMs in
+    turn, one to each VM.
     """
     vms = [
         Vm(
@@ -138,7 +143,7 @@
         )
         for number in range(profile.workers)
     ]
-    found = [_service(profile, vms, n, services) for n in range(services)]
+    service_list = [_service(profile, vms, n, services) for n in range(services)]
     team = Team(
         name=TEAM,
         cores=profile.cores * profile.workers,
@@ -147,19 +152,19 @@
     zones = [Zone(name=zone, region="home") for zone in profile.zones]
     return Configuration(
         revision=Revision(revision),
-        inventory=Inventory(zones=zones, vms=vms, services=found),
+        inventory=Inventory(zones=zones, vms=vms, services=service_list),
         rules=Rules(teams=[team]),
         zones_out=list(zones_out),
     )
 
 
 def service_name(profile: Profile, number: int) -> ServiceName:
-    """Return the name of a profile's service, by its number."""
+    """Return the name of the profile's service with this number."""
     return ServiceName(profile.service if not number else f"{profile.service}-{number}")
 
 
 def service_number(profile: Profile, vm: int, services: int) -> int:
-    """Return which service stands on a VM: each zone gets all of them in turn."""
+    """Return the number of a VM's service; each zone gets all services in turn."""
     return vm // len(profile.zones) % services
 
 
@@ -184,22 +189,24 @@
 def build(
     profile: Profile, policy: Policy, clock: Clock, seed: int, services: int = 1
 ) -> Deployment:
-    """Wire a deployment that decides as `policy` says."""
+    """Return a deployment that routes and admits as `policy` says."""
     configuration = configuration_of(profile, services)
-    made = Deployment(profile, clock, Network(profile.zone_delay), configuration)
+    deployment = Deployment(profile, clock, Network(profile.zone_delay), configuration)
     for number, vm in enumerate(configuration.inventory.vms):
         service = configuration.inventory.services[
             service_number(profile, number, services)
         ]
         member = _agent_member(vm, FIRST_PORT + number, service.name)
-        made.agent_by_vm[VmName(vm.name)] = _agent(made, member, service, policy)
-    members = [agent.member for agent in made.agent_by_vm.values()]
+        deployment.agent_by_vm[VmName(vm.name)] = _agent(
+            deployment, member, service, policy
+        )
+    members = [agent.member for agent in deployment.agent_by_vm.values()]
     for number in range(profile.entries):
-        entry = _entry(made, number, policy, seed)
+        entry = _entry(deployment, number, policy, seed)
         entry.view.merge_all(members, clock())
-        made.entries.append(entry)
-    made.apply(configuration)
-    return made
+        deployment.entries.append(entry)
+    deployment.apply(configuration)
+    return deployment
 
 
 def _agent_member(vm: Vm, port: int, service: str) -> Member:
@@ -219,15 +226,15 @@
 
 
 def _agent(
-    made: Deployment, member: Member, service: Service, policy: Policy
+    deployment: Deployment, member: Member, service: Service, policy: Policy
 ) -> AgentModel:
-    model = EndpointModel(made.profile.slots)
+    model = EndpointModel(deployment.profile.slots)
     services = Services(
         {},
         incarnation=member.incarnation,
-        clock=made.clock,
-        timing=made.timing,
-        closed_reason=lambda: agent.closed_because,
+        clock=deployment.clock,
+        timing=deployment.timing,
+        closed_reason=lambda: agent.closed_reason,
         close_older=lambda _: None,
         max_answer_bytes=1 << 20,
         kept_answer_bytes=32 << 20,
@@ -242,13 +249,15 @@
         return await handlers[type(message)](None, message, None)  # type: ignore[arg-type]
 
     server = Server(member, handle)
-    made.network.add(server)
+    deployment.network.add(server)
     agent = AgentModel(member, services, model, server)
     return agent
 
 
-def _entry(made: Deployment, number: int, policy: Policy, seed: int) -> EntryModel:
-    zone = made.profile.zones[number % len(made.profile.zones)]
+def _entry(
+    deployment: Deployment, number: int, policy: Policy, seed: int
+) -> EntryModel:
+    zone = deployment.profile.zones[number % len(deployment.profile.zones)]
     me = Member(
         node=NodeId(f"entry-{number}"),
         role=Role.ENTRY,
@@ -264,12 +273,12 @@
     )
     view = View(me, random.Random(f"{seed}/view/{number}"))
     in_force = InForce()
-    peers = PeersModel(made.network, zone)
+    peers = PeersModel(deployment.network, zone)
     relay = Relay(
         view,
         in_force,
         peers,  # type: ignore[arg-type]
-        clock=made.clock,
+        clock=deployment.clock,
         choose=chooser(policy.routing, random.Random(f"{seed}/route/{number}")),
         rng=random.Random(f"{seed}/relay/{number}"),
         ids=RequestIds(me.node, me.incarnation, SECRET),
@@ -277,5 +286,5 @@
     )
     if policy.retry_always:
         relay.budget.spend = lambda: True  # type: ignore[method-assign]
-        relay.endpoints = EndpointsNeverFull()
+        relay.endpoints = EndpointsIgnoringRefusals()
     return EntryModel(view, in_force, peers, relay)
--- a/bench/fakes.py
+++ b/bench/fakes.py
@@ -1,7 +1,7 @@
-"""Fakes at the interfaces of the decisions: the network, and endpoints with slots.
+"""Models of the network and of endpoints, for `bench.deployment`.
 
 Everything that decides is the product's own code: `Relay`, `Services`, `Slots`,
-the routing functions. What stands here only takes time.
+the routing functions. The models only add delays and faults.
 """
 
 import asyncio
@@ -16,12 +16,12 @@
 from wagtailcleat.wire.requests import ServiceRequest
 
 SILENCE_SECONDS = 1.0
-"""After how long a silent stream is given up: `timing.ping` + `timing.silence`."""
+"""Time after which a silent stream is closed: `timing.ping` + `timing.silence`."""
 
 
 @dataclass
 class EndpointFaults:
-    """What is wrong with an endpoint now."""
+    """The faults of an endpoint that are active now."""
 
     slow_factor: float = 1.0
     fails_at_once: bool = False
@@ -29,28 +29,31 @@
 
 @dataclass
 class EndpointModel:
-    """An endpoint: so many slots, a queue before them that knows no deadline."""
+    """An endpoint with `slots` and an unbounded queue that ignores deadlines."""
 
     slots: int
-    pressure: Callable[[], float] = lambda: 1.0
-    """By how much its neighbours slow it down now."""
+    slowdown_factor: Callable[[], float] = lambda: 1.0
+    """Returns the factor by which its neighbours slow it down now."""
     faults: EndpointFaults = field(default_factory=EndpointFaults)
     runs: int = 0
     busy_seconds: float = 0.0
 
     def __post_init__(self) -> None:
-        """Start idle."""
+        """Create the endpoint's slots, all free."""
         self._free = asyncio.Semaphore(self.slots)
         self._work: set[asyncio.Task[int]] = set()
 
     async def run(
         self, message: ServiceRequest, seconds: float
     ) -> EndpointAnswer | EndpointFailed:
-        """Answer as `agent.endpoint.Endpoint` does, after the request's work."""
+        """Do the request's work and answer, as `agent.endpoint.Endpoint` does.
+
+        Fail where that takes more than `seconds`.
+        """
         self.runs += 1
         work = asyncio.create_task(self._do(work_of(message.path)))
-        # Work that nobody waits for any more goes on: an HTTP server does not
-        # hear that its client gave up until it writes the answer.
+        # The work continues after the caller's timeout: an HTTP server does not
+        # notice that its client has disconnected until it writes the answer.
         self._work.add(work)
         work.add_done_callback(self._work.discard)
         try:
@@ -61,17 +64,17 @@
         return EndpointAnswer(status, [], b"")
 
     async def accepts_connections(self) -> bool:
-        """Tell that connections are taken."""
+        """Return that connections are accepted."""
         return True
 
     def close(self) -> None:
-        """Close nothing."""
+        """Do nothing: there are no connections to close."""
 
     async def _do(self, work: float) -> int:
         if self.faults.fails_at_once:
             return 500
         async with self._free:
-            seconds = work * self.faults.slow_factor * self.pressure()
+            seconds = work * self.faults.slow_factor * self.slowdown_factor()
             await asyncio.sleep(seconds)
             self.busy_seconds += seconds
         return 200
@@ -87,7 +90,7 @@
 
 @dataclass
 class Server:
-    """A node that can be called, as the network knows it."""
+    """A node on the modelled network that handles calls."""
 
     member: Member
     handle: Handle
@@ -96,10 +99,10 @@
 
 
 class StreamModel:
-    """One open stream to a server: a delay each way, and it may go silent."""
+    """One open stream to a server, with a delay each way; it can be made silent."""
 
     def __init__(self, server: Server, delay: float) -> None:
-        """Open to `server`, `delay` seconds away."""
+        """Open a stream to `server` with a one-way `delay` in seconds."""
         self.peer = server.member.node
         self.closed = False
         self.silent = False
@@ -110,13 +113,13 @@
     async def call(
         self, message: AnyMessage, *, timeout: float, parts: Parts | None = None
     ) -> AnyMessage | Lost:
-        """Carry a message and its answer, as `wire.streams.Stream` does."""
+        """Send a message and return its answer, as `wire.streams.Stream` does."""
         if self.silent:
-            return await self._never(timeout)
+            return await self._lose(timeout)
         try:
             async with asyncio.timeout(timeout):
                 await asyncio.sleep(self._delay)
-                if not self._reaches():
+                if not self._is_connected():
                     self.closed = True
                     return Lost(True, "the stream ended")
                 answer = await self._server.handle(message)
@@ -124,16 +127,16 @@
         except TimeoutError:
             return Lost(True, "no answer in time")
         if self.silent:
-            return await self._never(timeout)
-        if not self._reaches():
+            return await self._lose(timeout)
+        if not self._is_connected():
             self.closed = True
             return Lost(True, "the stream ended")
         return answer
 
-    def _reaches(self) -> bool:
+    def _is_connected(self) -> bool:
         return self._server.up and self._server.starts == self._starts
 
-    async def _never(self, timeout: float) -> Lost:
+    async def _lose(self, timeout: float) -> Lost:
         await asyncio.sleep(min(timeout, SILENCE_SECONDS))
         if timeout < SILENCE_SECONDS:
             return Lost(True, "no answer in time")
@@ -142,23 +145,23 @@
 
 
 class Network:
-    """All servers by address, with the delay between two zones."""
+    """All servers by port, with the one-way delay between two zones in seconds."""
 
     def __init__(self, zone_delay: float) -> None:
-        """Have no servers yet."""
+        """Create a network without servers."""
         self.server_by_port: dict[int, Server] = {}
         self.zone_delay = zone_delay
 
     def add(self, server: Server) -> None:
-        """Let a server be reached at its member's port."""
+        """Make a server reachable at its member's port."""
         self.server_by_port[server.member.port] = server
 
 
 class PeersModel:
-    """What `wire.streams.Peers` is to a process, over the modelled network."""
+    """The modelled network's counterpart of `wire.streams.Peers`."""
 
     def __init__(self, network: Network, zone: str) -> None:
-        """Call from `zone`."""
+        """Create the peer connections of a process in `zone`."""
         self._network = network
         self._zone = zone
         self.stream_by_port: dict[int, StreamModel] = {}
@@ -174,8 +177,8 @@
         if stream is not None and not stream.closed:
             return stream
         server = self._network.server_by_port[port]
-        same = server.member.zone == self._zone
-        delay = self._network.zone_delay * (0.1 if same else 1.0)
+        is_same_zone = server.member.zone == self._zone
+        delay = self._network.zone_delay * (0.1 if is_same_zone else 1.0)
         if not server.up:
             await asyncio.sleep(2 * delay)
             return Lost(False, "connection refused")
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,4 +1,7 @@
-"""Open-loop load over HTTP on real entries; latency from the intended send time."""
+"""Open-loop HTTP load on real entries, for `bench.real` and `bench.costs`.
+
+Latencies are counted from the intended send time.
+"""
 
 import asyncio
 import contextlib
@@ -21,8 +24,8 @@
 
 
 @dataclass
-class Heard:
-    """What the callers heard, by intended send time."""
+class AnswerCounts:
+    """Counts and latencies of the answers; latencies from the intended send time."""
 
     deadline: float
     answered: HdrHistogram = field(default_factory=histogram)
@@ -34,11 +37,11 @@
     unknown: int = 0
     unreachable: int = 0
     worst_lag: float = 0.0
-    """By how much the driver itself was late to send, at worst."""
+    """Greatest delay, in seconds, with which the driver itself sent a request."""
 
     @property
     def total(self) -> int:
-        """All requests heard of."""
+        """The number of counted requests."""
         failed = self.unknown + self.unreachable
         return self.in_time + self.late + self.not_run + failed
 
@@ -66,9 +69,13 @@
     *,
     seed: int,
     warm_up: float = 0.0,
-) -> Heard:
-    """Send each arrival at its time to one of `urls`, and return what was heard."""
-    heard = Heard(deadline)
+) -> AnswerCounts:
+    """Send each arrival at its time to one of `urls`; return the counted answers.
+
+    Parameters: `deadline` is each request's, in seconds; arrivals in the first
+    `warm_up` seconds are sent but not counted.
+    """
+    answers = AnswerCounts(deadline)
     client = CurlAsyncHTTPClient(force_instance=True, max_clients=MAX_CLIENTS)
     rng = random.Random(f"{seed}/urls")
     running: set[asyncio.Task[None]] = set()
@@ -77,24 +84,24 @@
         await asyncio.sleep(max(0.0, start + arrival.at - time.monotonic()))
         due = start + arrival.at
         if arrival.at >= warm_up:
-            heard.worst_lag = max(heard.worst_lag, time.monotonic() - due)
+            answers.worst_lag = max(answers.worst_lag, time.monotonic() - due)
         url = rng.choice(urls)
-        work = _one(client, url, arrival, due, heard, arrival.at >= warm_up)
+        work = _send(client, url, arrival, due, answers, arrival.at >= warm_up)
         task = asyncio.create_task(work)
         running.add(task)
         task.add_done_callback(running.discard)
     if running:
         await asyncio.wait(running)
     client.close()
-    return heard
+    return answers
 
 
-async def _one(
+async def _send(
     client: CurlAsyncHTTPClient,
     url: str,
     arrival: Arrival,
     due: float,
-    heard: Heard,
+    answers: AnswerCounts,
     counted: bool,
 ) -> None:
     method = "GET" if arrival.idempotent else "POST"
@@ -102,9 +109,9 @@
         f"{url}/{arrival.number}?delay={arrival.work:.4f}",
         method=method,
         body=None if arrival.idempotent else b"",
-        headers={"Wagtailcleat-Deadline-Ms": str(int(heard.deadline * 1000))},
+        headers={"Wagtailcleat-Deadline-Ms": str(int(answers.deadline * 1000))},
         connect_timeout=CONNECT_SECONDS,
-        request_timeout=heard.deadline + CONNECT_SECONDS,
+        request_timeout=answers.deadline + CONNECT_SECONDS,
     )
     response = None
     with contextlib.suppress(HTTPClientError, OSError):
@@ -114,14 +121,14 @@
         return
     microseconds = int(elapsed * MICROSECONDS) + 1
     if response is None or response.code == NO_ANSWER:
-        heard.unreachable += 1
+        answers.unreachable += 1
     elif response.code == REFUSED:
-        heard.not_run += 1
-        heard.without_retry_after += "Retry-After" not in response.headers
-        heard.refused.record_value(microseconds)
+        answers.not_run += 1
+        answers.without_retry_after += "Retry-After" not in response.headers
+        answers.refused.record_value(microseconds)
     elif response.code >= FAILED:
-        heard.unknown += 1
+        answers.unknown += 1
     else:
-        heard.answered.record_value(microseconds)
-        heard.in_time += elapsed <= heard.deadline
-        heard.late += elapsed > heard.deadline
+        answers.answered.record_value(microseconds)
+        answers.in_time += elapsed <= answers.deadline
+        answers.late += elapsed > answers.deadline
--- a/bench/mesh.py
+++ b/bench/mesh.py
@@ -1,8 +1,9 @@
-"""Many gossiping nodes in one process: the real gossip, on calls without sockets.
+"""Simulates a gossip mesh: many nodes in one process, connected without sockets.
 
-Every message is encoded and its bytes counted, as on a stream; a stream that was not
-used for the idle time is opened anew, and its hello counted. Calls can be lost,
-nodes can be dead, and the mesh can be cut in two.
+The gossip is the product's own. Every message is encoded and its bytes counted, as on
+a stream; a stream that was not used for the idle time is opened again, and the bytes
+of its handshake are counted. Calls can be lost, nodes can fail, and the mesh can be
+partitioned.
 """
 
 import asyncio
@@ -26,15 +27,15 @@
 FIRST_PORT = 10_000
 INCARNATION = Incarnation(1_800_000_000_000)
 ONE_WAY_SECONDS = 0.005
-HELLO_TRIPS = 3
+HANDSHAKE_TRIPS = 3
 MAC_BYTES = 32
 SERVICES = ("booking-core",)
 STEP_SECONDS = 0.02
-PATIENCE_SECONDS = 120.0
+TIMEOUT_SECONDS = 120.0
 
 
 def member(number: int, zones: int = 5) -> Member:
-    """Return the record of node `number`, as long as a real one."""
+    """Return the member record of node `number`, of the encoded size of a real one."""
     return Member(
         NodeId(f"agent-vm-{number:04}"),
         Role.AGENT,
@@ -51,8 +52,8 @@
     )
 
 
-def hello_bytes() -> int:
-    """Return the bytes that one end sends to open a stream."""
+def handshake_bytes() -> int:
+    """Return the bytes that each end sends in the handshake of a stream."""
     hello = Hello(
         PROTOCOL_VERSION,
         member(0).node,
@@ -65,10 +66,10 @@
 
 
 class MeshNode:
-    """One node: the real view, configuration and gossip."""
+    """One node with the product's own view, configuration and gossip."""
 
     def __init__(self, mesh: "Mesh", me: Member, seeds: list[tuple[str, int]]) -> None:
-        """Make a node that knows only itself."""
+        """Create a node that knows only itself and its seeds' addresses."""
         rng = random.Random(f"{mesh.seed}/{me.node}")
         self.mesh = mesh
         self.port = me.port
@@ -96,22 +97,22 @@
 
 
 class Mesh:
-    """Nodes that know each other, and what lies between them."""
+    """The nodes, and the simulated network that connects them."""
 
     def __init__(
         self, clock: Callable[[], float], *, seed: int, timing: Timing | None = None
     ) -> None:
-        """Start without nodes and faults."""
+        """Create a mesh without nodes and faults."""
         self.clock = clock
         self.seed = seed
         self.timing = timing or Timing()
         self.loss = 0.0
-        self.side_by_port: dict[int, int] = {}
+        self.partition_by_port: dict[int, int] = {}
         self.node_by_port: dict[int, MeshNode] = {}
         self.calls = 0
-        self._used_at_by_pair: dict[tuple[int, int], float] = {}
+        self._last_used_at_by_pair: dict[tuple[int, int], float] = {}
         self._random = random.Random(f"{seed}/mesh")
-        self._hello = hello_bytes()
+        self._handshake_bytes = handshake_bytes()
         self._tasks: list[asyncio.Task[None]] = []
 
     @property
@@ -119,13 +120,13 @@
         """Return all nodes that are alive."""
         return [node for node in self.node_by_port.values() if node.alive]
 
-    def fill(self, count: int, *, seeds: int) -> None:
-        """Make `count` nodes that all know each other; the first are the seeds."""
+    def add_nodes(self, count: int, *, seeds: int) -> None:
+        """Add `count` nodes that know each other; the first `seeds` are the seeds."""
         members = [member(number) for number in range(count)]
-        known = [(m.host, m.port) for m in members[:seeds]]
+        addresses = [(m.host, m.port) for m in members[:seeds]]
         for me in members:
-            given = [self._random.choice(known)] if known else []
-            node = MeshNode(self, me, given)
+            node_seeds = [self._random.choice(addresses)] if addresses else []
+            node = MeshNode(self, me, node_seeds)
             for other in members:
                 if other is not me:
                     node.view.merge(other, self.clock())
@@ -133,23 +134,23 @@
             self.node_by_port[me.port] = node
 
     async def start(self) -> None:
-        """Start each node's rounds, spread over one round."""
+        """Start the gossip rounds of each node at a random time within one interval."""
         for node in self.nodes:
             self._tasks.append(asyncio.create_task(self._run(node)))
         await asyncio.sleep(2 * self.timing.gossip)
 
     def kill(self, node: MeshNode) -> None:
-        """Let a node fail: it answers and sends nothing any more."""
+        """Stop a node for good: it no longer answers or sends."""
         node.alive = False
 
     def bytes(self) -> int:
-        """Return all bytes sent so far, hellos too."""
+        """Return all bytes sent so far, with those of handshakes."""
         return sum(node.bytes_out for node in self.node_by_port.values())
 
     async def call(
         self, source: MeshNode, port: int, message: Any, timeout: float
     ) -> AnyMessage | Lost:
-        """Carry a call there and its answer back."""
+        """Deliver a call to the node at `port` and return its answer, or the loss."""
         self.calls += 1
         target = self.node_by_port.get(port)
         if target is None or not source.alive or not self._reaches(source, target):
@@ -180,20 +181,20 @@
 
     async def _open(self, source: MeshNode, target: MeshNode) -> None:
         pair = (source.port, target.port)
-        used_at = self._used_at_by_pair.get(pair)
+        last_used_at = self._last_used_at_by_pair.get(pair)
         now = self.clock()
-        self._used_at_by_pair[pair] = now
-        if used_at is not None and now - used_at < self.timing.idle_close:
+        self._last_used_at_by_pair[pair] = now
+        if last_used_at is not None and now - last_used_at < self.timing.idle_close:
             return
         for node in (source, target):
-            node.bytes_out += self._hello
-            node.bytes_in += self._hello
-        await asyncio.sleep(HELLO_TRIPS * ONE_WAY_SECONDS)
+            node.bytes_out += self._handshake_bytes
+            node.bytes_in += self._handshake_bytes
+        await asyncio.sleep(HANDSHAKE_TRIPS * ONE_WAY_SECONDS)
 
     def _reaches(self, source: MeshNode, target: MeshNode) -> bool:
-        sides = self.side_by_port
-        same = sides.get(source.port, 0) == sides.get(target.port, 0)
-        return target.alive and same
+        partitions = self.partition_by_port
+        source_partition = partitions.get(source.port, 0)
+        return target.alive and source_partition == partitions.get(target.port, 0)
 
     def _send(self, source: MeshNode, target: MeshNode, frame: Frame) -> None:
         size = len(encode(frame))
@@ -201,10 +202,13 @@
         target.bytes_in += size
 
 
-async def until(mesh: Mesh, condition: Callable[[], bool]) -> float:
-    """Wait until `condition` holds; return the seconds, or the patience."""
+async def wait_until(mesh: Mesh, condition: Callable[[], bool]) -> float:
+    """Wait until `condition` holds; return the seconds waited.
+
+    Give up after `TIMEOUT_SECONDS`, and return that.
+    """
     began = mesh.clock()
-    for _ in range(round(PATIENCE_SECONDS / STEP_SECONDS)):
+    for _ in range(round(TIMEOUT_SECONDS / STEP_SECONDS)):
         if condition():
             break
         await asyncio.sleep(STEP_SECONDS)
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -1,4 +1,4 @@
-"""What is measured: the product's policy and plain baselines, by name."""
+"""The policies that the bench compares: the product's own and simple baselines."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -8,7 +8,10 @@
 
 
 class Control(Enum):
-    """What is done about batch tasks that slow a service down."""
+    """How batch tasks that slow a service down are controlled.
+
+    `STEPS` is the product's way: throttle first, then evict.
+    """
 
     STEPS = "steps"
     NONE = "none"
@@ -24,7 +27,7 @@
 
 @dataclass(frozen=True)
 class Policy:
-    """One way to decide; the defaults are the product's."""
+    """The rules of routing, admission and placement; the defaults are the product's."""
 
     name: str
     routing: Routing = Routing.LEAST_COST
@@ -51,10 +54,10 @@
 
 
 def policy_named(name: str) -> Policy:
-    """Return a policy.
+    """Return the policy called `name`.
 
     Raises:
-        BadValueError: there is none of that name.
+        BadValueError: there is no such policy.
 
     """
     if name not in POLICY_BY_NAME:
--- a/bench/profiles.py
+++ b/bench/profiles.py
@@ -1,4 +1,4 @@
-"""The two users' deployments of today, as the bench builds them."""
+"""The deployments of the two users, which the bench simulates."""
 
 from dataclasses import dataclass
 
@@ -9,8 +9,9 @@
 class Profile:
     """A deployment; delays are one way, in seconds.
 
-    `work_mean` is the mean service time of a request, drawn from a lognormal
-    distribution of `work_sigma`, and is the bench's own assumption.
+    The service time of a request is drawn from a lognormal distribution with the mean
+    `work_mean`, in seconds, and the sigma `work_sigma`; both are assumptions of the
+    bench.
     """
 
     name: str
@@ -31,7 +32,7 @@
 
     @property
     def capacity(self) -> float:
-        """Requests a second that all slots together can answer."""
+        """Requests per second that all slots together can answer."""
         return self.workers * self.slots / self.work_mean
 
 
@@ -71,10 +72,10 @@
 
 
 def profile_named(name: str) -> Profile:
-    """Return a profile.
+    """Return the profile called `name`.
 
     Raises:
-        BadValueError: there is none of that name.
+        BadValueError: there is no such profile.
 
     """
     if name not in PROFILE_BY_NAME:
--- a/bench/real.py
+++ b/bench/real.py
@@ -1,4 +1,4 @@
-"""End-to-end measures on real processes, scaled to one machine.
+"""Measures service requests end to end on real processes, scaled to one machine.
 
 python -m bench.real --profile tatrastart --scenario overload
 """
@@ -32,12 +32,15 @@
 SECONDS_RANGE = (6.0, 600.0)
 TEAM = "travel-desk"
 
-Happen = Callable[[Cluster, Profile, float], None]
-"""Does something to the cluster, in a thread of its own, over so many seconds."""
+ApplyEvents = Callable[[Cluster, Profile, float], None]
+"""Applies the events of a scenario to the cluster, in a thread of its own.
+
+The last argument is the length of the run in seconds.
+"""
 
 
 def scaled(profile: Profile) -> Profile:
-    """Return the profile with fewer workers and slots, and longer work."""
+    """Return the profile scaled down: fewer workers and slots, longer work."""
     return replace(
         profile,
         workers=VMS,
@@ -49,7 +52,7 @@
 
 
 def cluster_of(profile: Profile) -> Cluster:
-    """Start the deployment: stand-ins, four agents, two entries."""
+    """Return a cluster of stand-ins, an agent on each VM, and two entries."""
     vms = [
         VmOptions(
             f"vm-{number}",
@@ -71,7 +74,7 @@
     return Cluster(vms, [service])
 
 
-def ready(cluster: Cluster, profile: Profile) -> list[str]:
+def wait_until_ready(cluster: Cluster, profile: Profile) -> list[str]:
     """Apply the inventory; return the service's URL at each entry once it answers."""
     rules = {"teams": [{"name": TEAM, "cores": 1000, "memory_mb": 10_000_000}]}
     answer = cluster.apply(rules=rules)
@@ -82,11 +85,11 @@
     ]
     for url in urls:
         wait_for(lambda u=url: http("GET", u + "/x").status == 200, READY_SECONDS, url)
-    _until_known(cluster)
+    _wait_for_members(cluster)
     return urls
 
 
-def _until_known(cluster: Cluster) -> None:
+def _wait_for_members(cluster: Cluster) -> None:
     def all_alive() -> bool:
         nodes = cluster.admin("GET", "/admin/nodes").json()["nodes"]
         return len(nodes) == len(cluster.agent_by_vm) + len(cluster.entry_by_node)
@@ -94,8 +97,8 @@
     wait_for(all_alive, READY_SECONDS, "every node is known")
 
 
-def nothing(cluster: Cluster, profile: Profile, seconds: float) -> None:
-    """Let nothing happen."""
+def no_events(cluster: Cluster, profile: Profile, seconds: float) -> None:
+    """Apply no event."""
 
 
 def zone_out_and_back(cluster: Cluster, profile: Profile, seconds: float) -> None:
@@ -108,13 +111,13 @@
 
 
 def kill_vm(cluster: Cluster, profile: Profile, seconds: float) -> None:
-    """Kill one VM with its agent half-way."""
+    """Kill one VM with its agent at half the time."""
     time.sleep(seconds / 2)
     cluster.kill_vm("vm-0")
 
 
 def kill_entry(cluster: Cluster, profile: Profile, seconds: float) -> None:
-    """Kill the second entry half-way, and start it anew a second later."""
+    """Kill the second entry at half the time, and restart it a second later."""
     time.sleep(seconds / 2)
     entry = list(cluster.entry_by_node.values())[1]
     entry.kill()
@@ -123,7 +126,7 @@
 
 
 def store_down(cluster: Cluster, profile: Profile, seconds: float) -> None:
-    """Let the store be down for the middle third of the time."""
+    """Take the store down for the middle third of the time."""
     time.sleep(seconds / 3)
     cluster.store.faults(down=True)
     time.sleep(seconds / 3)
@@ -131,15 +134,15 @@
 
 
 def slow_endpoint(cluster: Cluster, profile: Profile, seconds: float) -> None:
-    """Let one endpoint be slower by nine times the mean work, all the time."""
+    """Delay one endpoint's answers by nine times the mean work for the whole run."""
     endpoint = cluster.endpoint_by_vm_and_service["vm-0", profile.service]
     endpoint.faults(delay_seconds=9 * profile.work_mean)
 
 
-LOAD_AND_HAPPEN_BY_SCENARIO: dict[str, tuple[float, Happen]] = {
-    "unloaded": (0.05, nothing),
-    "steady": (0.7, nothing),
-    "overload": (2.0, nothing),
+LOAD_AND_EVENTS_BY_SCENARIO: dict[str, tuple[float, ApplyEvents]] = {
+    "unloaded": (0.05, no_events),
+    "steady": (0.7, no_events),
+    "overload": (2.0, no_events),
     "slow-endpoint": (0.7, slow_endpoint),
     "zone-out": (0.6, zone_out_and_back),
     "killed-vm": (0.6, kill_vm),
@@ -149,40 +152,50 @@
 
 
 def run(profile: Profile, scenario: str, seconds: float, seed: int) -> dict[str, float]:
-    """Run a scenario once on a fresh deployment, and return its measures."""
-    load, happen = LOAD_AND_HAPPEN_BY_SCENARIO[scenario]
+    """Run a scenario once on a new deployment, and return its measures."""
+    load, apply_events = LOAD_AND_EVENTS_BY_SCENARIO[scenario]
     with cluster_of(profile) as cluster:
-        urls = ready(cluster, profile)
-        thread = threading.Thread(target=happen, args=(cluster, profile, seconds))
+        urls = wait_until_ready(cluster, profile)
+        thread = threading.Thread(target=apply_events, args=(cluster, profile, seconds))
         thread.start()
-        coming = arrivals(profile, load, seconds, seed)
-        heard = asyncio.run(
-            drive(urls, coming, profile.deadline, seed=seed, warm_up=WARM_UP_SECONDS)
+        load_arrivals = arrivals(profile, load, seconds, seed)
+        answers = asyncio.run(
+            drive(
+                urls,
+                load_arrivals,
+                profile.deadline,
+                seed=seed,
+                warm_up=WARM_UP_SECONDS,
+            )
         )
         thread.join()
-    measures = heard.measures()
-    rate = heard.in_time / (seconds - WARM_UP_SECONDS)
+    measures = answers.measures()
+    rate = answers.in_time / (seconds - WARM_UP_SECONDS)
     return measures | {"goodput_of_capacity": rate / profile.capacity}
 
 
 def main(
     *,
-    profile: Annotated[str, cyclopts.Parameter(help="Whose deployment.")] = (
+    profile: Annotated[str, cyclopts.Parameter(help="Deployment to run.")] = (
         "tatrastart"
     ),
-    scenario: Annotated[str, cyclopts.Parameter(help="What is run.")] = "steady",
-    seed: Annotated[int, cyclopts.Parameter(help="The first seed.")] = 1,
-    seeds: Annotated[int, cyclopts.Parameter(help="How many seeds.")] = 3,
-    seconds: Annotated[float, cyclopts.Parameter(help="How long each run.")] = 12.0,
-    json: Annotated[Path | None, cyclopts.Parameter(help="Report here too.")] = None,
+    scenario: Annotated[str, cyclopts.Parameter(help="Scenario to run.")] = "steady",
+    seed: Annotated[int, cyclopts.Parameter(help="First seed.")] = 1,
+    seeds: Annotated[int, cyclopts.Parameter(help="Number of seeds.")] = 3,
+    seconds: Annotated[
+        float, cyclopts.Parameter(help="Length of each run in seconds.")
+    ] = 12.0,
+    json: Annotated[
+        Path | None, cyclopts.Parameter(help="File for the report as JSON.")
+    ] = None,
 ) -> int:
-    """Run a scenario on real processes; report the median of the seeds."""
+    """Run a scenario on real processes; print the median and range over the seeds."""
     try:
         check_range("--seeds", seeds, 1, 100)
         check_range("--seconds", seconds, *SECONDS_RANGE)
         chosen = scaled(profile_named(profile))
-        if scenario not in LOAD_AND_HAPPEN_BY_SCENARIO:
-            raise BadValueError("--scenario", scenario, LOAD_AND_HAPPEN_BY_SCENARIO)
+        if scenario not in LOAD_AND_EVENTS_BY_SCENARIO:
+            raise BadValueError("--scenario", scenario, LOAD_AND_EVENTS_BY_SCENARIO)
     except BadValueError as error:
         print(error, file=sys.stderr)
         return EXIT_BAD_VALUE
--- a/bench/report.py
+++ b/bench/report.py
@@ -1,4 +1,4 @@
-"""Reports: the median of several seeds with their spread, as text and as JSON."""
+"""Reports of the bench: the median and range over several seeds, as text or JSON."""
 
 import json
 import subprocess
@@ -15,7 +15,7 @@
 
 
 def spread(runs: list[Measures]) -> dict[str, dict[str, float]]:
-    """Return the median, the least and the greatest of each measure."""
+    """Return the median, minimum and maximum of each measure over `runs`."""
     return {
         name: {
             "median": median(run[name] for run in runs),
@@ -27,14 +27,14 @@
 
 
 def commit() -> str:
-    """Return the commit that is measured, marked where files were changed."""
+    """Return the checked-out commit, marked `-dirty` if files were changed."""
     command = ["git", "describe", "--always", "--dirty"]
     done = subprocess.run(command, cwd=ROOT, capture_output=True, text=True)
     return done.stdout.strip()
 
 
 def text_table(rows: dict[str, dict[str, dict[str, float]]]) -> str:
-    """Return a table: a line a measure, a column a policy, `median (min..max)`."""
+    """Return a table of `median (min..max)`: measures as rows, policies as columns."""
     policies = list(rows)
     names = list(rows[policies[0]])
     lines = ["".ljust(NAME_WIDTH) + "".join(p.rjust(WIDTH) for p in policies)]
@@ -45,12 +45,12 @@
 
 
 def write_json(path: Path, report: dict[str, Any]) -> None:
-    """Write a report for programs to read."""
+    """Write a report as JSON."""
     path.write_text(json.dumps(report, indent=1, sort_keys=True) + "\n")
 
 
 def markdown(header: Iterable[str], rows: Iterable[Iterable[str]]) -> str:
-    """Return a table for a page."""
+    """Return a Markdown table."""
     names = list(header)
     lines = ["| " + " | ".join(names) + " |", "|" + "---|" * len(names)]
     lines += ["| " + " | ".join(row) + " |" for row in rows]
--- a/bench/run.py
+++ b/bench/run.py
@@ -1,4 +1,4 @@
-"""Runs a scenario under some policies, over several seeds, side by side.
+"""Runs a scenario on virtual time under several policies and seeds, and compares them.
 
 python -m bench.run --profile tatrastart --scenario steady --seeds 5
 """
@@ -14,7 +14,7 @@
 from bench.policies import policy_named
 from bench.profiles import profile_named
 from bench.report import commit, spread, text_table, write_json
-from bench.scenario import Measures, Run
+from bench.scenario import Measures, RunParameters
 from bench.scenarios import scenario_named
 
 EXIT_BAD_VALUE = 2
@@ -26,9 +26,11 @@
 
 
 def run_one(scenario: str, profile: str, policy: str, seconds: float, seed: int):  # type: ignore[no-untyped-def]
-    """Run a scenario once, named by text so that it can go to another process."""
-    wanted = Run(profile_named(profile), policy_named(policy), seconds, seed)
-    return scenario_named(scenario).run(wanted)
+    """Run a scenario once; all is passed by name, to be sent to another process."""
+    parameters = RunParameters(
+        profile_named(profile), policy_named(policy), seconds, seed
+    )
+    return scenario_named(scenario).run(parameters)
 
 
 def run_all(
@@ -40,7 +42,10 @@
     seconds: float,
     processes: int,
 ) -> dict[str, list[Measures]]:
-    """Run every policy with every seed, each seed's policies next to each other."""
+    """Run every policy with every seed; return the measures by policy.
+
+    The policies of one seed are started one after the other.
+    """
     runs_by_policy: dict[str, list[Measures]] = {policy: [] for policy in policies}
     with ProcessPoolExecutor(processes) as pool:
         policy_by_run = {
@@ -58,18 +63,18 @@
 
 def main(
     *,
-    profile: Annotated[str, Option(help="Whose deployment.")] = "tatrastart",
-    scenario: Annotated[str, Option(help="What is run.")] = "steady",
+    profile: Annotated[str, Option(help="Deployment to simulate.")] = "tatrastart",
+    scenario: Annotated[str, Option(help="Scenario to run.")] = "steady",
     policy: Annotated[
-        list[str] | None, Option(help="Which policies; the scenario's own otherwise.")
+        list[str] | None, Option(help="Policies; by default the scenario's own.")
     ] = None,
-    seed: Annotated[int, Option(help="The first seed.")] = 1,
-    seeds: Annotated[int, Option(help="How many seeds, one after the other.")] = 5,
-    seconds: Annotated[float, Option(help="How long, in the load's own time.")] = 8.0,
-    processes: Annotated[int, Option(help="Runs at one time.")] = 3,
-    json: Annotated[Path | None, Option(help="Write the report here too.")] = None,
+    seed: Annotated[int, Option(help="First seed.")] = 1,
+    seeds: Annotated[int, Option(help="Number of consecutive seeds.")] = 5,
+    seconds: Annotated[float, Option(help="Length in virtual seconds.")] = 8.0,
+    processes: Annotated[int, Option(help="Number of parallel runs.")] = 3,
+    json: Annotated[Path | None, Option(help="File for the report as JSON.")] = None,
 ) -> int:
-    """Run a scenario; report the median of the seeds, and their spread."""
+    """Run a scenario; print the median and range over the seeds."""
     try:
         check_range("--seeds", seeds, 1, MAX_SEEDS)
         check_range("--seed", seed, 0, 2**31)
--- a/bench/scenario.py
+++ b/bench/scenario.py
@@ -1,4 +1,4 @@
-"""What a scenario and one run of it are."""
+"""The types of a scenario and of the parameters of one run."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -10,8 +10,8 @@
 
 
 @dataclass(frozen=True)
-class Run:
-    """One run to make."""
+class RunParameters:
+    """The parameters of one run; `seconds` are virtual time."""
 
     profile: Profile
     policy: Policy
@@ -21,9 +21,9 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """A scenario: how it is run, and the policies it compares."""
+    """A scenario, the function that runs it, and the policies it compares."""
 
     name: str
     about: str
-    run: Callable[[Run], Measures]
+    run: Callable[[RunParameters], Measures]
     policies: tuple[str, ...]
--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -1,42 +1,44 @@
-"""What is run, by name: a load, and what goes wrong meanwhile."""
+"""All scenarios of `bench.run` by name: each is a load and the faults during it."""
 
 from collections.abc import Callable
 
 from bench import faults
 from bench.batch_scenarios import BATCH_SCENARIOS
 from bench.errors import BadValueError
-from bench.scenario import Measures, Run, Scenario
-from bench.services import Faults, run_services
+from bench.scenario import Measures, RunParameters, Scenario
+from bench.services import InjectFaults, run_services
 
 ROUTING = ("product", "two_choices", "random", "round_robin")
 OVERLOAD = ("product", "no_limits", "retry_always", "no_limits_retry_always")
 
 
 def _services(  # type: ignore[no-untyped-def]
-    load: float, make_faults: Callable[[], Faults] | None = None, stretch: float = 1.0
+    load: float,
+    create_faults: Callable[[], InjectFaults] | None = None,
+    stretch: float = 1.0,
 ):
-    def run(wanted: Run) -> Measures:
+    def run(parameters: RunParameters) -> Measures:
         return run_services(
-            wanted.profile,
-            wanted.policy,
+            parameters.profile,
+            parameters.policy,
             load=load,
-            seconds=wanted.seconds * stretch,
-            seed=wanted.seed,
-            faults=make_faults() if make_faults else None,
+            seconds=parameters.seconds * stretch,
+            seed=parameters.seed,
+            faults=create_faults() if create_faults else None,
         )
 
     return run
 
 
-def _kill() -> Faults:
-    return faults.killed_agent(faults.FROM + 1)
+def _kill() -> InjectFaults:
+    return faults.killed_agent(faults.FAULTS_FROM_SECONDS + 1)
 
 
-def _slow_and_silent() -> Faults:
-    return faults.together(faults.slow_endpoint, faults.silent_connections())
+def _slow_and_silent() -> InjectFaults:
+    return faults.combined(faults.slow_endpoint, faults.silent_connections())
 
 
-def _failing_and_overload() -> Faults:
+def _failing_and_overload() -> InjectFaults:
     return faults.failing_endpoint
 
 
@@ -87,10 +89,10 @@
 
 
 def scenario_named(name: str) -> Scenario:
-    """Return a scenario.
+    """Return the scenario called `name`.
 
     Raises:
-        BadValueError: there is none of that name.
+        BadValueError: there is no such scenario.
 
     """
     if name not in SCENARIO_BY_NAME:
--- a/bench/services.py
+++ b/bench/services.py
@@ -1,4 +1,4 @@
-"""Open-loop load on a service: arrivals, faults at times, and what callers saw."""
+"""Open-loop load on simulated services, with faults, and counts of the outcomes."""
 
 import asyncio
 import math
@@ -23,13 +23,13 @@
 WARM_UP_SECONDS = 2.0
 IDEMPOTENT_SHARE = 0.7
 
-Faults = Callable[[Deployment, float], None]
-"""Breaks something at a time, and mends it at another; called each tick."""
+InjectFaults = Callable[[Deployment, float], None]
+"""Injects or clears faults, given the virtual time; called every 0.1 s."""
 
 
 @dataclass(frozen=True)
 class Arrival:
-    """One request: when the caller means to send it, and what work it is."""
+    """One request, with its intended send time and its service time in seconds."""
 
     number: int
     at: float
@@ -40,7 +40,11 @@
 def arrivals(
     profile: Profile, load: float, seconds: float, seed: int
 ) -> Iterator[Arrival]:
-    """Draw the same arrivals for every policy: by seed, profile and load alone."""
+    """Yield the arrivals of a Poisson process with the rate `load` times the capacity.
+
+    They depend on the seed, profile and load alone, so they are the same for every
+    policy.
+    """
     rng = random.Random(f"{seed}/arrivals/{profile.name}")
     rate = load * profile.capacity
     mu = math.log(profile.work_mean) - profile.work_sigma**2 / 2
@@ -58,11 +62,11 @@
     return HdrHistogram(1, HIGHEST_MICROSECONDS, DIGITS)
 
 
-class Seen:
-    """What callers saw, after the warm-up."""
+class OutcomeCounts:
+    """Counts and latencies of the outcomes that callers got after the warm-up."""
 
     def __init__(self, deadline: float) -> None:
-        """Count answers within `deadline` seconds as in time."""
+        """Create empty counts; answers within `deadline` seconds count as in time."""
         self.answered = histogram()
         self.refused = histogram()
         self.in_time = 0
@@ -72,8 +76,12 @@
         self.unknown = 0
         self._deadline = deadline
 
-    def note(self, outcome: object, latency: float, at_entry: float) -> None:
-        """Note one outcome, with its seconds from the intended send time."""
+    def add(self, outcome: object, latency: float, at_entry: float) -> None:
+        """Count one outcome.
+
+        Parameters: `latency` is the seconds from the intended send time; `at_entry`
+        the seconds that the request spent at and behind the entry.
+        """
         if isinstance(outcome, Answered) and outcome.answer.status < 500:
             self.answered.record_value(int(latency * MICROSECONDS) + 1)
             in_time = latency <= self._deadline
@@ -89,7 +97,7 @@
 
     @property
     def total(self) -> int:
-        """All requests noted."""
+        """The number of counted requests."""
         return self.in_time + self.late + self.errors + self.not_run + self.unknown
 
 
@@ -100,95 +108,99 @@
     load: float,
     seconds: float,
     seed: int,
-    faults: Faults | None = None,
+    faults: InjectFaults | None = None,
 ) -> dict[str, float]:
-    """Run one load and return its measures; times in milliseconds."""
+    """Run one load on virtual time and return its measures; times in milliseconds."""
 
     async def main(clock: Clock) -> dict[str, float]:
-        made = build(profile, policy, clock, seed)
-        sweeping = asyncio.create_task(made.sweep())
-        breaking = asyncio.create_task(_break(made, faults))
-        seen = await drive(made, load, seconds, seed, WARM_UP_SECONDS)
-        sweeping.cancel()
-        breaking.cancel()
-        return service_measures(made, seen, seconds - WARM_UP_SECONDS)
+        deployment = build(profile, policy, clock, seed)
+        expiring = asyncio.create_task(deployment.expire_ledgers())
+        injecting = asyncio.create_task(_inject_faults(deployment, faults))
+        outcomes = await drive(deployment, load, seconds, seed, WARM_UP_SECONDS)
+        expiring.cancel()
+        injecting.cancel()
+        return service_measures(deployment, outcomes, seconds - WARM_UP_SECONDS)
 
     return run_virtual(main)
 
 
-async def _break(made: Deployment, faults: Faults | None) -> None:
+async def _inject_faults(deployment: Deployment, faults: InjectFaults | None) -> None:
     while faults is not None:
-        faults(made, made.clock())
+        faults(deployment, deployment.clock())
         await asyncio.sleep(0.1)
 
 
 async def drive(
-    made: Deployment,
+    deployment: Deployment,
     load: float,
     seconds: float,
     seed: int,
     warm_up: float,
     services: int = 1,
-) -> Seen:
-    """Send the arrivals to the entries, and return what was seen after `warm_up`."""
-    seen = Seen(made.profile.deadline)
+) -> OutcomeCounts:
+    """Send the arrivals to the entries; return the outcomes after `warm_up` seconds."""
+    outcomes = OutcomeCounts(deployment.profile.deadline)
     rng = random.Random(f"{seed}/entries")
     running: set[asyncio.Task[None]] = set()
-    for arrival in arrivals(made.profile, load, seconds, seed):
-        await asyncio.sleep(arrival.at - made.clock())
-        entry = rng.choice(made.entries)
-        service = service_name(made.profile, arrival.number % services)
-        noted = seen if arrival.at >= warm_up else None
-        work = _request(made, entry, arrival, service, noted)
+    for arrival in arrivals(deployment.profile, load, seconds, seed):
+        await asyncio.sleep(arrival.at - deployment.clock())
+        entry = rng.choice(deployment.entries)
+        service = service_name(deployment.profile, arrival.number % services)
+        counted = outcomes if arrival.at >= warm_up else None
+        work = _request(deployment, entry, arrival, service, counted)
         task = asyncio.create_task(work)
         running.add(task)
         task.add_done_callback(running.discard)
     while running:
         await asyncio.wait(running)
-    return seen
+    return outcomes
 
 
 async def _request(
-    made: Deployment,
+    deployment: Deployment,
     entry: EntryModel,
     arrival: Arrival,
     service: ServiceName,
-    seen: Seen | None,
+    outcomes: OutcomeCounts | None,
 ) -> None:
-    profile = made.profile
+    profile = deployment.profile
     await asyncio.sleep(profile.client_delay)
-    reached = made.clock()
+    arrived_at = deployment.clock()
     request = CallerRequest(
         service=service,
         method="POST",
         path=f"/{arrival.number}?work={arrival.work:.6f}",
         headers=[],
         body=b"",
-        deadline=reached + profile.deadline,
+        deadline=arrived_at + profile.deadline,
         idempotent=arrival.idempotent,
     )
     outcome = await entry.relay.send(request)
-    at_entry = made.clock() - reached
+    at_entry = deployment.clock() - arrived_at
     await asyncio.sleep(profile.client_delay)
-    if seen is not None:
-        seen.note(outcome, made.clock() - arrival.at, at_entry)
+    if outcomes is not None:
+        outcomes.add(outcome, deployment.clock() - arrival.at, at_entry)
 
 
-def service_measures(made: Deployment, seen: Seen, measured: float) -> dict[str, float]:
-    """Return the measures of `measured` seconds; times in milliseconds."""
-    retries = sum(entry.relay.retries for entry in made.entries)
-    requests = sum(entry.relay.requests for entry in made.entries)
+def service_measures(
+    deployment: Deployment, outcomes: OutcomeCounts, measured: float
+) -> dict[str, float]:
+    """Return the measures over `measured` seconds; times in milliseconds."""
+    retries = sum(entry.relay.retries for entry in deployment.entries)
+    requests = sum(entry.relay.requests for entry in deployment.entries)
     return {
-        "requests": seen.total,
-        "p50_ms": seen.answered.get_value_at_percentile(50) / 1000,
-        "p99_ms": seen.answered.get_value_at_percentile(99) / 1000,
-        "p999_ms": seen.answered.get_value_at_percentile(99.9) / 1000,
-        "goodput_of_capacity": seen.in_time / measured / made.profile.capacity,
-        "in_time_share": seen.in_time / max(1, seen.total),
-        "late_share": seen.late / max(1, seen.total),
-        "error_share": seen.errors / max(1, seen.total),
-        "refused_share": seen.not_run / max(1, seen.total),
-        "unknown_share": seen.unknown / max(1, seen.total),
-        "refusal_p50_ms": seen.refused.get_value_at_percentile(50) / 1000,
+        "requests": outcomes.total,
+        "p50_ms": outcomes.answered.get_value_at_percentile(50) / 1000,
+        "p99_ms": outcomes.answered.get_value_at_percentile(99) / 1000,
+        "p999_ms": outcomes.answered.get_value_at_percentile(99.9) / 1000,
+        "goodput_of_capacity": outcomes.in_time
+        / measured
+        / deployment.profile.capacity,
+        "in_time_share": outcomes.in_time / max(1, outcomes.total),
+        "late_share": outcomes.late / max(1, outcomes.total),
+        "error_share": outcomes.errors / max(1, outcomes.total),
+        "refused_share": outcomes.not_run / max(1, outcomes.total),
+        "unknown_share": outcomes.unknown / max(1, outcomes.total),
+        "refusal_p50_ms": outcomes.refused.get_value_at_percentile(50) / 1000,
         "retries_share": retries / max(1, requests),
     }
--- a/bench/sharing.py
+++ b/bench/sharing.py
@@ -1,4 +1,7 @@
-"""Compares policies of sharing VMs on the platform's scheduler, by paired seeds.
+"""Compares policies for sharing VMs between serving and filling tasks.
+
+Every policy runs the product's scheduler on the same simulated fleets, one per seed,
+and differences are taken seed by seed.
 
 python -m bench.sharing --seeds 30 --json sharing.json
 """
@@ -23,24 +26,24 @@
 from wagtailcleat.scheduling.ranking import Lateness
 from wagtailcleat.scheduling.scheduler import Scheduler
 
-DAY_SECONDS = 45.0
-CHANGE_AT = 20.0
-"""Seconds after which a new leader begins."""
+SIMULATED_SECONDS = 45.0
+LEADER_CHANGE_AT_SECONDS = 20.0
+"""Seconds from the start to the change of leader."""
 EXIT_BAD_VALUE = 2
 MAX_SEEDS = 200
 PROCESSES_RANGE = (1, 8)
-CONFIDENCE = 1.96
-"""Standard errors on either side: nineteen in twenty."""
+CONFIDENCE_STANDARD_ERRORS = 1.96
+"""Standard errors on either side of the mean: an interval of 95 % confidence."""
 
 Prepare = Callable[[Scheduler], None]
 
 
 def _as_is(scheduler: Scheduler) -> None:
-    """Leave the scheduler as it is."""
+    """Leave the scheduler unchanged."""
 
 
 def _nothing_beside(scheduler: Scheduler) -> None:
-    """Let nothing fill beside what serves."""
+    """Keep filling tasks off VMs that run serving tasks."""
     scheduler.sharing.admits = (  # type: ignore[method-assign]
         lambda vm, step, now, lateness=Lateness.IN_TIME: not vm.serving_runs
     )
@@ -50,14 +53,14 @@
 
 
 @contextlib.contextmanager
-def _bound(most: float) -> Iterator[Prepare]:
-    bounds = dict.fromkeys(Lateness, most)
+def _with_bound(max_added: float) -> Iterator[Prepare]:
+    bounds = dict.fromkeys(Lateness, max_added)
     with patch.object(sharing, "MOST_ADDED", bounds):
         yield _as_is
 
 
 @contextlib.contextmanager
-def _constant(name: str, value: float) -> Iterator[Prepare]:
+def _with_constant(name: str, value: float) -> Iterator[Prepare]:
     with patch.object(sharing, name, value):
         yield _as_is
 
@@ -65,40 +68,47 @@
 POLICIES: dict[str, Callable[[], contextlib.AbstractContextManager[Prepare]]] = {
     "as-is": lambda: contextlib.nullcontext(_as_is),
     "nothing-beside": lambda: contextlib.nullcontext(_nothing_beside),
-    "bound-0.04": lambda: _bound(0.04),
-    "bound-0.12": lambda: _bound(0.12),
-    "bound-0.30": lambda: _bound(0.30),
-    "no-residual": lambda: _constant("RESIDUAL_LASTING", 0.0),
-    "stop-at-once": lambda: _constant("STOP_SECONDS", 0.0),
-    "aim-0.8": lambda: _constant("AIM_LOAD", 0.8),
+    "bound-0.04": lambda: _with_bound(0.04),
+    "bound-0.12": lambda: _with_bound(0.12),
+    "bound-0.30": lambda: _with_bound(0.30),
+    "no-residual": lambda: _with_constant("RESIDUAL_LASTING", 0.0),
+    "stop-at-once": lambda: _with_constant("STOP_SECONDS", 0.0),
+    "aim-0.8": lambda: _with_constant("AIM_LOAD", 0.8),
 }
 
 
 def run_one(policy: str, seed: int, load: float) -> Outcome:
-    """Play one day of a fleet under a policy."""
+    """Simulate one fleet under a policy; return its outcome."""
     with POLICIES[policy]() as prepare:
-        return Fleet(seed, prepare, load=load).play(DAY_SECONDS, change_at=CHANGE_AT)
+        return Fleet(seed, prepare, load=load).simulate(
+            SIMULATED_SECONDS, leader_change_at=LEADER_CHANGE_AT_SECONDS
+        )
 
 
 def compare(
     outcomes_by_policy: dict[str, list[Outcome]],
 ) -> dict[str, dict[str, float]]:
-    """Return each policy's means, and its worth less the first one's by seed."""
+    """Return the means of each policy, by policy.
+
+    `difference` is the mean over the seeds of its worth minus the first policy's, and
+    `plus_minus` half of that mean's confidence interval.
+    """
     rows = {}
     first = next(iter(outcomes_by_policy.values()))
     for policy, outcomes in outcomes_by_policy.items():
-        less = [
+        differences = [
             one.worth - other.worth for one, other in zip(outcomes, first, strict=True)
         ]
-        spread = stdev(less) / math.sqrt(len(less)) if len(less) > 1 else 0.0
+        count = len(differences)
+        standard_error = stdev(differences) / math.sqrt(count) if count > 1 else 0.0
         rows[policy] = {
             "worth": fmean(o.worth for o in outcomes),
             "serving": fmean(o.serving for o in outcomes),
             "filling": fmean(o.filling for o in outcomes),
             "seconds_over": fmean(o.seconds_over for o in outcomes),
             "stops": fmean(o.stops for o in outcomes),
-            "difference": fmean(less),
-            "plus_minus": CONFIDENCE * spread,
+            "difference": fmean(differences),
+            "plus_minus": CONFIDENCE_STANDARD_ERRORS * standard_error,
         }
     return rows
 
@@ -113,7 +123,7 @@
     processes: int = 4,
     json_file: Annotated[Path | None, cyclopts.Parameter(name="--json")] = None,
 ) -> int:
-    """Play each policy with each seed; the first policy is what others are held to."""
+    """Simulate each policy with each seed; the first policy is the baseline."""
     try:
         check_range("--seeds", seeds, 1, MAX_SEEDS)
         check_range("--processes", processes, *PROCESSES_RANGE)
@@ -138,8 +148,8 @@
             f"{row['seconds_over']:6.1f}  {row['stops']:5.1f}"
         )
     if json_file is not None:
-        told = {"commit": commit(), "seeds": seeds, "load": load, "policies": rows}
-        json_file.write_text(json.dumps(told, indent=2) + "\n")
+        report = {"commit": commit(), "seeds": seeds, "load": load, "policies": rows}
+        json_file.write_text(json.dumps(report, indent=2) + "\n")
     return 0
 
 
--- a/bench/sharing_fleet.py
+++ b/bench/sharing_fleet.py
@@ -1,8 +1,9 @@
-"""A fleet on virtual time under the platform's scheduler: no network, no store.
+"""Simulates a fleet under the product's scheduler, without network or store.
 
-Serving jobs whose loads swing, filling jobs that arrive, burst, fail and run off their
-estimates, pairs of images that interfere, figures that are noisy and of the half second
-before, and a change of leader. All is drawn from one seed.
+The fleet has serving jobs with periodic loads; filling jobs that arrive in bursts,
+fail, and take more or less time than estimated; pairs of images that interfere;
+utilization figures that are noisy and averaged over the last half second; and a change
+of leader. All of it is drawn from one seed. `bench.sharing` runs it.
 """
 
 import math
@@ -28,52 +29,53 @@
 from wagtailcleat.wire.scheduling import Orders, Report
 
 SERVICE = ServiceName("fleet")
-TICK = 0.1
-"""Seconds."""
+TICK_SECONDS = 0.1
 TICKS_PER_REPORT = 3
 FIGURE_TICKS = 5
-"""A figure is the mean of the last half second."""
-CHANGE_PAUSE = 2.0
-"""Seconds without a leader at a change of leader."""
-HORIZON = 5.4
-STOP_AGAIN = 1.0
+"""Ticks whose mean is a reported utilization figure: the last half second."""
+LEADERLESS_SECONDS = 2.0
+"""Time without a leader at a change of leader."""
+LEASE_HORIZON_SECONDS = 5.4
+STOP_RETRY_SECONDS = 1.0
 SERVING_IMAGES = 5
 FILLING_IMAGES = 9
 IDLE_SECONDS = 0.004
 TARGET_SECONDS = 0.018
 MEAN_LOAD = 0.42
-SWING = 0.5
-NOISE = 0.07
-"""Standard deviation of utilization, with `NOISE_SECONDS` as time constant."""
+LOAD_AMPLITUDE = 0.5
+NOISE_DEVIATION = 0.07
+"""Standard deviation of the noise in utilization."""
 NOISE_SECONDS = 0.8
-FAIL_SHARE = 0.02
+"""Time constant of the noise."""
+FAILING_SHARE = 0.02
 CHECKPOINT_SECONDS = 1.0
 RESTORE_SECONDS = 0.6
 LATE_WORTH = 0.15
+"""Share of its worth that a filling job earns up to three times its objective."""
 HARM_FACTOR = 4.0
-"""A serving task that is over target through others costs so many times its worth."""
+"""Cost of a serving task over target through others, as a multiple of its worth."""
 SERVING_WORTH = 0.6
-"""Share of the fleet's worth that its serving tasks have."""
+"""Share of the serving tasks in the fleet's worth."""
 
 
 @dataclass
 class _Run:
-    """A run at a worker."""
+    """A run on a worker."""
 
     key: RunKey
     step: Step
-    left: float
-    """Seconds of work at full pace."""
-    restoring: float
+    remaining: float
+    """Remaining work, in seconds at full pace."""
+    restore_seconds_left: float
     pace: float = 1.0
     since_checkpoint: float = 0.0
     fails_at: float = -1.0
-    """Seconds of work left at which it fails; negative: it succeeds."""
+    """Remaining work, in seconds, at which it fails; negative if it succeeds."""
 
 
 @dataclass
 class _Worker:
-    """A VM as it is, and its agent."""
+    """The true state of a VM, and what its agent reports."""
 
     node: NodeId
     cores: float
@@ -87,7 +89,11 @@
 
 @dataclass(frozen=True)
 class Outcome:
-    """What a day of the fleet was worth, as shares of what was owed."""
+    """The result of one simulation.
+
+    `worth`, `serving` and `filling` are shares of the greatest possible worth;
+    `seconds_over` is the time of serving tasks over target through others.
+    """
 
     worth: float
     serving: float
@@ -97,7 +103,7 @@
 
 
 class Fleet:
-    """Workers, what runs on them, and the scheduler that orders them."""
+    """The simulated workers and jobs, and the leader's scheduler."""
 
     def __init__(
         self,
@@ -107,7 +113,7 @@
         load: float = 1.0,
         vms: int = 11,
     ) -> None:
-        """Draw a fleet; `prepare` is given each leader's scheduler."""
+        """Draw a fleet; `prepare` is called with the scheduler of each new leader."""
         self._random = random.Random(seed)
         self._prepare = prepare
         self._now = 100.0
@@ -120,48 +126,46 @@
         self._work_by_job: dict[JobId, float] = {}
         self._jobs: list[Job] = []
         self._done_at_by_job: dict[JobId, float] = {}
-        self._left_by_task: dict[tuple[JobId, int, int, int], float] = {}
+        self._remaining_by_task: dict[tuple[JobId, int, int, int], float] = {}
         self._serving_seconds = 0.0
         self._over_seconds = 0.0
         self._stops = 0
         self._epoch = 0
-        self._pairs = self._draw_pairs()
-        self._scheduler = self._lead()
+        self._added_load_by_images = self._draw_interference()
+        self._scheduler = self._new_leader()
 
-    def play(self, seconds: float, *, change_at: float) -> Outcome:
-        """Let a day pass, with a new leader at `change_at`."""
+    def simulate(self, seconds: float, *, leader_change_at: float) -> Outcome:
+        """Simulate `seconds`; the leader changes after `leader_change_at` seconds."""
         for _ in range(9):
             self._submit(self._serving_job())
         end = self._now + seconds
-        changes = self._now + change_at
+        leader_change = self._now + leader_change_at
         tick = 0
         while self._now < end:
-            self._now += TICK
+            self._now += TICK_SECONDS
             tick += 1
-            self._arrive(end)
+            self._draw_arrival(end)
             for worker in self._workers.values():
-                self._work(worker)
-            if changes <= self._now < changes + CHANGE_PAUSE:
+                self._advance_runs(worker)
+            if leader_change <= self._now < leader_change + LEADERLESS_SECONDS:
                 continue
-            if self._epoch == 1 and self._now >= changes:
-                self._scheduler = self._lead()
+            if self._epoch == 1 and self._now >= leader_change:
+                self._scheduler = self._new_leader()
             for number, worker in enumerate(self._workers.values()):
                 if (tick + number) % TICKS_PER_REPORT == 0:
-                    self._report(worker)
-            self._decide()
+                    self._send_report(worker)
+            self._run_scheduler()
         return self._outcome(end)
 
-    # ---- what is drawn
-
-    def _draw_pairs(self) -> dict[tuple[str, str], float]:
-        pairs = {}
+    def _draw_interference(self) -> dict[tuple[str, str], float]:
+        added_by_images = {}
         for serving in range(SERVING_IMAGES):
             for filling in range(FILLING_IMAGES):
-                heavy = self._random.random() < 0.5
-                least, most = (0.5, 3.0) if heavy else (0.0, 0.1)
-                added = self._random.uniform(least, most)
-                pairs[f"serve-{serving}", f"fill-{filling}"] = added
-        return pairs
+                is_heavy = self._random.random() < 0.5
+                low, high = (0.5, 3.0) if is_heavy else (0.0, 0.1)
+                added = self._random.uniform(low, high)
+                added_by_images[f"serve-{serving}", f"fill-{filling}"] = added
+        return added_by_images
 
     def _serving_job(self) -> Job:
         number = len(self._jobs)
@@ -182,9 +186,9 @@
         estimate = seconds * self._random.uniform(0.8, 1.25)
         size = Resources(self._random.uniform(4.5, 9.5), 1000, 0)
         steps = []
-        for place in range(self._random.choice((1, 2, 2, 3))):
+        for index in range(self._random.choice((1, 2, 2, 3))):
             count = max(1, min(32, round(8 * self._random.lognormvariate(-0.18, 0.6))))
-            after = (place - 1,) if place else ()
+            after = (index - 1,) if index else ()
             step = Step(
                 count,
                 size,
@@ -213,36 +217,34 @@
             target_latency=1.0,
         )
 
-    def _arrive(self, end: float) -> None:
+    def _draw_arrival(self, end: float) -> None:
         rate = 0.6 * self._load
         if 14.0 < self._now - 100.0 < 20.0:
             rate *= 2.6
-        if self._random.random() < rate * TICK and self._now < end - 10.0:
+        if self._random.random() < rate * TICK_SECONDS and self._now < end - 10.0:
             self._submit(self._filling_job())
 
     def _submit(self, job: Job) -> None:
         self._jobs.append(job)
         self._scheduler.book.add(job, now=self._now, wall_now=self._now)
 
-    # ---- the leader
-
-    def _lead(self) -> Scheduler:
-        """Return the scheduler of a new leader, which knows what is stored."""
+    def _new_leader(self) -> Scheduler:
+        """Return the scheduler of a new leader, restored from what is stored."""
         self._epoch += 1
         before = self._scheduler if self._epoch > 1 else None
         scheduler = Scheduler(
             self._epoch,  # type: ignore[arg-type]
-            lease_horizon=HORIZON,
-            stop_again=STOP_AGAIN,
+            lease_horizon=LEASE_HORIZON_SECONDS,
+            stop_again=STOP_RETRY_SECONDS,
         )
         self._prepare(scheduler)
         if before is not None:
             learnt = before.sharing.interference.learnt()
             scheduler.sharing.interference.restore(learnt)
-            self._hand_over(before, scheduler)
+            self._restore_jobs(before, scheduler)
         return scheduler
 
-    def _hand_over(self, before: Scheduler, scheduler: Scheduler) -> None:
+    def _restore_jobs(self, before: Scheduler, scheduler: Scheduler) -> None:
         scheduler.unheard = set(self._workers)
         for entry in before.book.entry_by_id.values():
             new = scheduler.book.add(
@@ -252,7 +254,7 @@
         for worker in self._workers.values():
             worker.orders_taken = 0
 
-    def _report(self, worker: _Worker) -> None:
+    def _send_report(self, worker: _Worker) -> None:
         info = WorkerInfo(
             f"i-{worker.node}",
             1,
@@ -275,7 +277,7 @@
             unsettled=[],
             refused=[],
             silent_seconds=0.0,
-            lease_seconds=HORIZON,
+            lease_seconds=LEASE_HORIZON_SECONDS,
             orders_taken=worker.orders_taken,
             ends_whole=True,
         )
@@ -283,84 +285,88 @@
         self._scheduler.vm_by_node[worker.node].registered = True
 
     def _running(self, worker: _Worker, run: _Run) -> Running:
-        figure = run.step.size.cores * run.pace if not run.restoring else 0.0
+        figure = run.step.size.cores * run.pace if not run.restore_seconds_left else 0.0
         if run.step.target_seconds:
-            seen = worker.utilization_by_job.get(run.key.task.job)
-            mean = sum(seen) / len(seen) if seen else 0.0
+            samples = worker.utilization_by_job.get(run.key.task.job)
+            mean = sum(samples) / len(samples) if samples else 0.0
             figure = round(IDLE_SECONDS / (1 - min(0.98, mean)), 3)
         return Running(run.key, "", 0, figure)
 
-    def _decide(self) -> None:
+    def _run_scheduler(self) -> None:
         scheduler = self._scheduler
-        scheduler.expire(now=self._now, predecessors_until=self._now - HORIZON)
+        scheduler.expire(
+            now=self._now, predecessors_until=self._now - LEASE_HORIZON_SECONDS
+        )
         scheduler.place(now=self._now, wall_now=self._now)
         for entry in scheduler.book.entry_by_id.values():
             scheduler.committed(entry, entry.version)
             if entry.state.final:
                 self._done_at_by_job.setdefault(entry.job.id, self._now)
         for vm, orders in scheduler.orders(now=self._now):
-            self._take(self._workers[vm.node], orders)
+            self._deliver_orders(self._workers[vm.node], orders)
 
-    def _take(self, worker: _Worker, orders: Orders) -> None:
+    def _deliver_orders(self, worker: _Worker, orders: Orders) -> None:
         worker.orders_taken = orders.number
         for start in orders.starts:
-            worker.running[start.key] = self._begin(start.key)
+            worker.running[start.key] = self._new_run(start.key)
         for key in orders.stops:
-            self._end(worker, key, RunEnd.STOPPED)
+            self._end_run(worker, key, RunEnd.STOPPED)
         for pace in orders.paces:
             if pace.key in worker.running:
                 worker.running[pace.key].pace = pace.percent / 100
         worker.ended = [e for e in worker.ended if e.number > orders.acknowledged]
 
-    # ---- the workers
-
-    def _begin(self, key: RunKey) -> _Run:
+    def _new_run(self, key: RunKey) -> _Run:
         job = self._scheduler.book.entry_by_id[key.task.job].job
         seconds = self._work_by_job.get(key.task.job, math.inf)
-        left = self._left_by_task.get(key.task, seconds)
-        fails = self._random.random() < FAIL_SHARE and left < math.inf
+        remaining = self._remaining_by_task.get(key.task, seconds)
+        fails = self._random.random() < FAILING_SHARE and remaining < math.inf
         return _Run(
             key,
             job.steps[key.task.step],
-            left,
-            restoring=0.0 if left == seconds else RESTORE_SECONDS,
-            fails_at=self._random.uniform(0, left) if fails else -1.0,
+            remaining,
+            restore_seconds_left=0.0 if remaining == seconds else RESTORE_SECONDS,
+            fails_at=self._random.uniform(0, remaining) if fails else -1.0,
         )
 
-    def _end(self, worker: _Worker, key: RunKey, how: RunEnd) -> None:
+    def _end_run(self, worker: _Worker, key: RunKey, run_end: RunEnd) -> None:
         run = worker.running.pop(key, None)
         if run is None:
             return
-        if how is not RunEnd.SUCCEEDED:
-            self._left_by_task[key.task] = run.left + run.since_checkpoint
-        self._stops += how is RunEnd.STOPPED
+        if run_end is not RunEnd.SUCCEEDED:
+            self._remaining_by_task[key.task] = run.remaining + run.since_checkpoint
+        self._stops += run_end is RunEnd.STOPPED
         worker.ends += 1
-        worker.ended.append(Ended(worker.ends, key, how))
+        worker.ended.append(Ended(worker.ends, key, run_end))
 
-    def _work(self, worker: _Worker) -> None:
+    def _advance_runs(self, worker: _Worker) -> None:
         share_by_image: dict[str, float] = {}
         for run in list(worker.running.values()):
             if not run.step.fills:
                 continue
-            if run.restoring > 0:
-                run.restoring = max(0.0, run.restoring - TICK)
+            if run.restore_seconds_left > 0:
+                run.restore_seconds_left = max(
+                    0.0, run.restore_seconds_left - TICK_SECONDS
+                )
                 continue
             image = run.step.image
             share = run.step.size.cores * run.pace / worker.cores
             share_by_image[image] = share_by_image.get(image, 0.0) + share
-            run.left -= TICK * run.pace
-            run.since_checkpoint += TICK * run.pace
+            run.remaining -= TICK_SECONDS * run.pace
+            run.since_checkpoint += TICK_SECONDS * run.pace
             if run.since_checkpoint >= CHECKPOINT_SECONDS:
                 run.since_checkpoint = 0.0
-            if run.left <= run.fails_at:
-                self._end(worker, run.key, RunEnd.FAILED)
-            elif run.left <= 0:
-                self._end(worker, run.key, RunEnd.SUCCEEDED)
-        self._serve(worker, share_by_image)
-
-    def _serve(self, worker: _Worker, share_by_image: dict[str, float]) -> None:
-        lasting = math.exp(-TICK / NOISE_SECONDS)
-        fresh = NOISE * math.sqrt(1 - lasting**2)
+            if run.remaining <= run.fails_at:
+                self._end_run(worker, run.key, RunEnd.FAILED)
+            elif run.remaining <= 0:
+                self._end_run(worker, run.key, RunEnd.SUCCEEDED)
+        self._update_utilization(worker, share_by_image)
+
+    def _update_utilization(
+        self, worker: _Worker, share_by_image: dict[str, float]
+    ) -> None:
+        decay = math.exp(-TICK_SECONDS / NOISE_SECONDS)
+        noise_step = NOISE_DEVIATION * math.sqrt(1 - decay**2)
         counts: dict[JobId, tuple[str, int]] = {}
         for run in worker.running.values():
             if run.step.target_seconds:
@@ -368,26 +374,26 @@
                 counts[job] = (run.step.image, counts.get(job, ("", 0))[1] + 1)
         for job, (image, count) in counts.items():
             period, phase = self._phase_by_job[job]
-            turn = math.sin(2 * math.pi * self._now / period + phase)
-            noise = worker.noise_by_job.get(job, 0.0) * lasting
-            noise += self._random.gauss(0, fresh)
+            wave = math.sin(2 * math.pi * self._now / period + phase)
+            noise = worker.noise_by_job.get(job, 0.0) * decay
+            noise += self._random.gauss(0, noise_step)
             worker.noise_by_job[job] = noise
             added = sum(
-                self._pairs[image, filling] * share
+                self._added_load_by_images[image, filling] * share
                 for filling, share in share_by_image.items()
             )
-            own = MEAN_LOAD * (1 + SWING * turn)
-            seen = worker.utilization_by_job.setdefault(job, deque(maxlen=FIGURE_TICKS))
-            seen.append(min(0.98, max(0.0, own + added + noise)))
-            self._serving_seconds += count * TICK
+            own = MEAN_LOAD * (1 + LOAD_AMPLITUDE * wave)
+            samples = worker.utilization_by_job.setdefault(
+                job, deque(maxlen=FIGURE_TICKS)
+            )
+            samples.append(min(0.98, max(0.0, own + added + noise)))
+            self._serving_seconds += count * TICK_SECONDS
             limit = 1 - IDLE_SECONDS / TARGET_SECONDS
-            if added > 0.01 and sum(seen) / len(seen) > limit:
-                self._over_seconds += count * TICK
-
-    # ---- the outcome
+            if added > 0.01 and sum(samples) / len(samples) > limit:
+                self._over_seconds += count * TICK_SECONDS
 
     def _outcome(self, end: float) -> Outcome:
-        owed = earned = 0.0
+        possible = earned = 0.0
         for job in self._jobs:
             if job.priority == 0:
                 continue
@@ -396,13 +402,13 @@
             work = self._work_by_job[job.id] * len(job.steps)
             objective = job.stretch * work + job.target_latency
             taken = self._done_at_by_job.get(job.id, end + 99) - job.accepted_at
-            owed += worth
+            possible += worth
             if taken <= objective:
                 earned += worth
             elif taken <= 3 * objective:
                 earned += LATE_WORTH * worth
         harm = HARM_FACTOR * self._over_seconds / max(1.0, self._serving_seconds)
         serving = max(0.0, 1 - harm)
-        filling = earned / owed if owed else 1.0
+        filling = earned / possible if possible else 1.0
         worth = SERVING_WORTH * serving + (1 - SERVING_WORTH) * filling
         return Outcome(worth, serving, filling, self._over_seconds, self._stops)
--- a/bench/table.py
+++ b/bench/table.py
@@ -1,4 +1,4 @@
-"""Makes the tables of docs/BENCH.md from a folder of JSON reports.
+"""Prints the tables of docs/BENCH.md from a folder of JSON reports.
 
 python -m bench.table FOLDER
 """
@@ -42,11 +42,11 @@
 
 
 def table(reports: list[dict[str, Any]], measures: tuple[str, ...]) -> str:
-    """Return one table: a line for each scenario and policy."""
+    """Return a Markdown table with a row for each scenario and policy."""
     rows = []
     for report in reports:
-        for policy, found in report["policies"].items():
-            cells = [_cell(found[name]) for name in measures]
+        for policy, measure_by_name in report["policies"].items():
+            cells = [_cell(measure_by_name[name]) for name in measures]
             rows.append([report["scenario"], policy, *cells])
     return markdown(["scenario", "policy", *measures], rows)
 
@@ -62,8 +62,10 @@
     return f"{value:.0f}" if abs(value) >= 100 else f"{value:.3g}"
 
 
-def main(folder: Annotated[Path, cyclopts.Parameter(help="Of JSON reports.")]) -> int:
-    """Print a table of services and one of batch for each profile."""
+def main(
+    folder: Annotated[Path, cyclopts.Parameter(help="Folder of JSON reports.")],
+) -> int:
+    """Print a table of services and one of batch tasks for each profile."""
     reports = [json.loads(path.read_text()) for path in sorted(folder.glob("*.json"))]
     if not reports:
         print(f"{folder}: no JSON report in it", file=sys.stderr)
@@ -71,9 +73,9 @@
     order = list(SCENARIO_BY_NAME)
     reports.sort(key=lambda report: order.index(report["scenario"]))
     for profile in sorted({report["profile"] for report in reports}):
-        mine = [report for report in reports if report["profile"] == profile]
+        of_profile = [report for report in reports if report["profile"] == profile]
         for measures, is_batch in ((SERVICE_MEASURES, False), (BATCH_MEASURES, True)):
-            chosen = [r for r in mine if _is_batch(r) is is_batch]
+            chosen = [r for r in of_profile if _is_batch(r) is is_batch]
             if chosen:
                 print(f"\n### {profile}\n\n{table(chosen, measures)}")
     return 0
--- a/bench/troubled.py
+++ b/bench/troubled.py
@@ -1,10 +1,10 @@
-"""Requests of collected logs that went wrong for their callers, some picked at random.
+"""Lists requests in collected logs that went wrong, and picks some at random.
 
     python -m bench.troubled --seed 11 --objective QUEUE:STRETCH:TARGET LOG
 
-A request is listed that was refused; that ended late, where its queue's objective is
-given: STRETCH times the longest work of each of its steps, and TARGET seconds; or whose
-tasks, which last, had to be started again.
+A request is listed if it was refused; if a task of it without a due time was started
+again; or if it took longer than its queue's objective, where that is given: STRETCH
+times the sum of the longest work of each step, plus TARGET seconds.
 """
 
 import random
@@ -18,13 +18,13 @@
 from wagtailcleat.operator.explain import parsed
 from wagtailcleat.operator.lost_time import moment
 
-Line = dict[str, Any]
+LogLine = dict[str, Any]
 Objectives = dict[str, tuple[float, float]]
 
 
-def lines_by_job(path: Path) -> dict[str, list[Line]]:
-    """Return the lines that name a job, in order of time."""
-    found: dict[str, list[Line]] = defaultdict(list)
+def lines_by_job(path: Path) -> dict[str, list[LogLine]]:
+    """Return the log lines that name a job, by job and in order of time."""
+    found: dict[str, list[LogLine]] = defaultdict(list)
     with path.open(errors="replace") as opened:
         for text in opened:
             line = parsed(text)
@@ -36,30 +36,34 @@
     return found
 
 
-def symptoms(lines: list[Line], objectives: Objectives) -> Iterator[str]:
-    """Yield what the caller of one job could complain of."""
-    if _with(lines, "Not accepted"):
+def problems(lines: list[LogLine], objectives: Objectives) -> Iterator[str]:
+    """Yield what went wrong for the caller of one job."""
+    if _ending_with(lines, "Not accepted"):
         yield "refused"
     queue = next((str(line["queue"]) for line in lines if "queue" in line), "")
     if queue in objectives:
         late = _late_seconds(lines, *objectives[queue])
         if late > 0:
             yield f"late by {late:.2f} s"
-    lasting = [line["run"] for line in _with(lines, "Starts") if "due" not in line]
-    tasks = {run.split("#")[0] for run in lasting}
-    if len(tasks) < len(lasting):
-        yield f"started again: {len(lasting) - len(tasks)} of {len(tasks)} tasks"
+    starts = [
+        line["run"] for line in _ending_with(lines, "Starts") if "due" not in line
+    ]
+    tasks = {run.split("#")[0] for run in starts}
+    if len(tasks) < len(starts):
+        yield f"started again: {len(starts) - len(tasks)} of {len(tasks)} tasks"
 
 
-def _with(lines: list[Line], ending: str) -> list[Line]:
+def _ending_with(lines: list[LogLine], ending: str) -> list[LogLine]:
     return [line for line in lines if str(line["message"]).endswith(ending)]
 
 
-def _late_seconds(lines: list[Line], stretch: float, target: float) -> float:
-    started = {line["run"]: moment(line) for line in _with(lines, "Starts")}
-    ends = _with(lines, "Run ended")
+def _late_seconds(lines: list[LogLine], stretch: float, target: float) -> float:
+    started = {line["run"]: moment(line) for line in _ending_with(lines, "Starts")}
+    ends = _ending_with(lines, "Run ended")
     accepted = [moment(line) for line in lines if "queue" in line]
-    cancelled = _with(lines, "Cancelled") or _with(lines, "Cancelled in the store")
+    cancelled = _ending_with(lines, "Cancelled") or _ending_with(
+        lines, "Cancelled in the store"
+    )
     if not ends or not accepted or cancelled:
         return 0.0
     work: dict[str, float] = defaultdict(float)
@@ -71,17 +75,17 @@
     for task, seconds in work.items():
         step = task.rpartition("/")[0]
         longest[step] = max(longest[step], seconds)
-    took = (moment(ends[-1]) - accepted[0]).total_seconds()
-    return took - stretch * sum(longest.values()) - target
+    elapsed = (moment(ends[-1]) - accepted[0]).total_seconds()
+    return elapsed - stretch * sum(longest.values()) - target
 
 
 def main(
     logs: list[Path], *, objective: tuple[str, ...] = (), seed: int = 0, pick: int = 10
 ) -> None:
-    """List the requests of `logs` that went wrong, and pick some.
+    """Print how many requests of `logs` went wrong, and a random sample of them.
 
     Parameters: each `objective` is a queue with its stretch and target, as
-    `QUEUE:STRETCH:TARGET`; `seed` decides which are picked, `pick` how many.
+    `QUEUE:STRETCH:TARGET`; `pick` is the size of the sample, drawn with `seed`.
     """
     rows = (text.split(":") for text in objective)
     objectives = {queue: (float(s), float(t)) for queue, s, t in rows}
@@ -89,7 +93,7 @@
         f"{job} {path.name} {', '.join(found)}"
         for path in logs
         for job, lines in lines_by_job(path).items()
-        if (found := list(symptoms(lines, objectives)))
+        if (found := list(problems(lines, objectives)))
     ]
     print(f"{len(listed)} requests; picked with seed {seed}:")
     for row in random.Random(seed).sample(sorted(listed), pick):
--- a/bench/virtual_time.py
+++ b/bench/virtual_time.py
@@ -1,4 +1,7 @@
-"""An event loop whose clock jumps to the next timer, so that minutes cost seconds."""
+"""An event loop on virtual time: its clock jumps to the next timer without waiting.
+
+Simulated minutes thus take seconds.
+"""
 
 import asyncio
 import selectors
@@ -9,32 +12,32 @@
 
 
 class _JumpingSelector(selectors.DefaultSelector):
-    """Moves the clock on by what a real selector would have waited."""
+    """Advances the clock by the time that a real selector would have waited."""
 
     now = 0.0
 
     def select(self, timeout: float | None = None) -> list[Any]:
-        """Return at once, with the clock moved to the next timer."""
+        """Advance the clock to the next timer, and return no event."""
         if timeout is None:
-            raise RuntimeError("everything waits, and no timer is left")
+            raise RuntimeError("deadlock: every task waits, and no timer is scheduled")
         self.now += max(0.0, timeout)
         return []
 
 
 class _VirtualLoop(asyncio.SelectorEventLoop):
-    """A loop on virtual time; it never looks at a socket."""
+    """An event loop on virtual time, without socket events."""
 
     def __init__(self) -> None:
         self._jumping = _JumpingSelector()
         super().__init__(self._jumping)
 
     def time(self) -> float:
-        """Return the virtual seconds since the loop was made."""
+        """Return the virtual seconds since the loop was created."""
         return self._jumping.now
 
 
 def run_virtual(main: Callable[[Callable[[], float]], Coroutine[Any, Any, T]]) -> T:
-    """Run `main`, which is handed the virtual clock, to its end."""
+    """Call `main` with the virtual clock, run it to its end and return its result."""
     loop = _VirtualLoop()
     try:
         return loop.run_until_complete(main(loop.time))
--- a/features/steps/lost_exchanges_steps.py
+++ b/features/steps/lost_exchanges_steps.py
@@ -7,7 +7,7 @@
 from behave import given, then, when
 from msgspec.structs import replace
 
-from bench.mesh import Mesh, member, until
+from bench.mesh import Mesh, member, wait_until
 from bench.virtual_time import run_virtual
 from wagtailcleat.configuration.models import Configuration
 from wagtailcleat.ids import Revision, ShardId
@@ -37,14 +37,14 @@
 def step_change(context):
     async def main(clock):
         mesh = Mesh(clock, seed=SEED)
-        mesh.fill(context.mesh_size, seeds=1)
+        mesh.add_nodes(context.mesh_size, seeds=1)
         mesh.loss = context.loss
         await mesh.start()
         await asyncio.sleep(mesh.timing.idle_close)
         source = mesh.nodes[0]
         source.in_force.adopt(Configuration(Revision(1), "one"), clock())
         source.gossiper.configuration_changed()
-        return await until(
+        return await wait_until(
             mesh, lambda: all(n.in_force.revision == 1 for n in mesh.nodes)
         )
 
