--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Scripts around the package: the CI verdict and the demonstration."""
+"""Development scripts: the checks that CI runs, and the demonstration."""
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -1,8 +1,9 @@
-"""`make demo`: a small deployment on loopback, shown at work with real commands.
+"""`make demo`: runs real commands against a small deployment on loopback.
 
 Starts the stand-ins for the platform, two entries and three agents in two
-availability zones, runs commands against them, prints each with its answer, and
-stops everything. Ends with 0 only if every command did what it should.
+availability zones, runs commands against them, prints each with its output, and
+stops everything. The exit code is 0 only if every command succeeded with the expected
+output.
 """
 
 import json
@@ -17,23 +18,23 @@
 from standins.processes import ROOT
 
 EXAMPLES = ROOT / "examples"
-COMMAND_SECONDS = 60
-PATIENCE_SECONDS = 20
-PAUSE_SECONDS = 0.3
+COMMAND_TIMEOUT_SECONDS = 60
+OUTPUT_TIMEOUT_SECONDS = 20
+RETRY_PAUSE_SECONDS = 0.3
 SETTINGS = "operator.json"
 FILES = ("rules.json", "job.json")
 
 
 class DemoError(Exception):
-    """A command that did not do what it should."""
+    """A command failed or did not print the expected output."""
 
 
 def main() -> int:
-    """Run the demonstration; return the exit code."""
+    """Run the demonstration; return the process exit code."""
     print("Starting a store, three VMs with worker and endpoint, agents and entries.")
     try:
         with Cluster() as cluster:
-            _show(_Shell(cluster))
+            _run_steps(_Shell(cluster))
     except DemoError as error:
         print(f"\nFAILED: {error}")
         return 1
@@ -42,7 +43,7 @@
 
 
 class _Shell:
-    """Runs commands in a folder with the example files, and prints what they say."""
+    """Runs commands in a folder with the example files, and prints their output."""
 
     def __init__(self, cluster: Cluster) -> None:
         self._folder = cluster.folder
@@ -56,7 +57,7 @@
         for name in FILES:
             (self._folder / name).write_bytes((EXAMPLES / name).read_bytes())
         self._environment = os.environ | {
-            "PATH": f"{_programs(self._folder)}{os.pathsep}{os.environ['PATH']}",
+            "PATH": f"{_command_folder(self._folder)}{os.pathsep}{os.environ['PATH']}",
             "PYTHONPATH": str(ROOT),
             "WAGTAILCLEAT_SETTINGS": SETTINGS,
             "ENTRY": urls[0],
@@ -65,25 +66,38 @@
         }
 
     def run(self, command: str, expected: str = "") -> str:
-        """Run a command, print it with its answer, and check it for `expected`."""
-        code, said = self._run(command)
-        _print(command, said)
+        """Run a command, print and return its output, and check it for `expected`.
+
+        Raises:
+            DemoError: the command failed, or `expected` is not in its output.
+
+        """
+        code, output = self._run(command)
+        _print(command, output)
         if code != 0:
-            raise DemoError(f"`{command}` ended with {code}")
-        if expected not in said:
-            raise DemoError(f"`{command}` did not say '{expected}'")
-        return said
+            raise DemoError(f"`{command}` failed with exit code {code}")
+        if expected not in output:
+            raise DemoError(f"`{command}` did not print '{expected}'")
+        return output
 
     def run_until(self, command: str, expected: str) -> str:
-        """Repeat a command quietly until it says `expected`, then print it."""
-        give_up_at = time.monotonic() + PATIENCE_SECONDS
+        """Repeat a command until its output has `expected`; print and return that.
+
+        Raises:
+            DemoError: that did not happen within 20 s.
+
+        """
+        give_up_at = time.monotonic() + OUTPUT_TIMEOUT_SECONDS
         while time.monotonic() < give_up_at:
-            code, said = self._run(command)
-            if code == 0 and expected in said:
-                _print(command, said)
-                return said
-            time.sleep(PAUSE_SECONDS)
-        raise DemoError(f"`{command}` did not say '{expected}', but: {said}")
+            code, output = self._run(command)
+            if code == 0 and expected in output:
+                _print(command, output)
+                return output
+            time.sleep(RETRY_PAUSE_SECONDS)
+        raise DemoError(
+            f"`{command}` did not print '{expected}' within "
+            f"{OUTPUT_TIMEOUT_SECONDS} s, but: {output}"
+        )
 
     def _run(self, command: str) -> tuple[int, str]:
         result = subprocess.run(
@@ -94,28 +108,28 @@
             stderr=subprocess.STDOUT,
             text=True,
             check=False,
-            timeout=COMMAND_SECONDS,
+            timeout=COMMAND_TIMEOUT_SECONDS,
         )
         return result.returncode, result.stdout
 
 
-def _print(command: str, said: str) -> None:
-    print(f"\n$ {command}\n{said.rstrip()}", flush=True)
+def _print(command: str, output: str) -> None:
+    print(f"\n$ {command}\n{output.rstrip()}", flush=True)
 
 
-def _programs(folder: Path) -> Path:
-    # The command line is found in the path also where the package is not installed.
-    programs = folder / "bin"
-    programs.mkdir()
-    script = programs / "wagtailcleat"
+def _command_folder(folder: Path) -> Path:
+    # The script lets the shell find the command where the package is not installed.
+    folder_in_path = folder / "bin"
+    folder_in_path.mkdir()
+    script = folder_in_path / "wagtailcleat"
     script.write_text(
         f'#!/bin/sh\nexec "{sys.executable}" -m wagtailcleat.operator.app "$@"\n'
     )
     script.chmod(0o755)
-    return programs
+    return folder_in_path
 
 
-def _show(shell: _Shell) -> None:
+def _run_steps(shell: _Shell) -> None:
     steps: tuple[tuple[str, Callable[[_Shell], None]], ...] = (
         ("An operator checks and applies an inventory and rules", _apply),
         (
@@ -153,7 +167,7 @@
 
 
 def _zone(shell: _Shell) -> None:
-    # A VM holds one such task beside its endpoint, so two run in zilina-a.
+    # Next to its endpoint a VM has room for one such task, so two run in zilina-a.
     job = "--command sleep:5 --cores 20 --memory-mb 100 --tasks 3"
     shell.run(f"wagtailcleat job submit travel-desk rebuild {job} --fields id,state")
     shell.run_until("wagtailcleat zone show zilina-a --fields tasks_running", "g: 2")
--- a/tools/verify.py
+++ b/tools/verify.py
@@ -1,12 +1,12 @@
-"""Run what CI runs: formatter, linter, types and the behave features.
+"""Run the checks of CI: formatter, linter, type checker and the behave features.
 
-Feature files run side by side, each in a behave process of its own. The last line
+Feature files run in parallel, each in a behave process of its own. The last line
 printed is `N passed, N failed, N skipped`, counting checks and scenarios.
 
-`KNOWN-RED.txt` names scenarios that fail for a known fault, one a line as
+`KNOWN-RED.txt` names scenarios that fail for a known fault, one per line as
 `scenario name | command and seed | what was seen | cause | issue`. They are run and
 printed, and do not count as failed; one that passes is printed too, since some fail
-now and then only.
+only in some runs.
 """
 
 import json
@@ -44,8 +44,8 @@
     "soak/soak",
     "platform/whole_path",
 )
-"""Features of 20 s and more, in this order; one that is begun late ends the whole run
-late, with nothing beside it."""
+"""Features that take 20 s or more, in the order in which they start. A long feature
+started late would run alone at the end and lengthen the whole run."""
 
 
 @dataclass
@@ -111,7 +111,7 @@
     if name in known_red and status not in ("passed", "skipped"):
         tally.known_red.append(name)
     elif name in known_red and status == "passed":
-        # It may fail now and then only; its line goes when the cause is mended.
+        # It may fail only in some runs; its line is removed when the cause is fixed.
         print(f"known red, passed this time: {name}")
         tally.passed += 1
     elif status == "passed":
@@ -142,7 +142,7 @@
             )
             tally = _count(report, known_red)
         except (OSError, ValueError, subprocess.TimeoutExpired) as error:
-            print(f"FAILED: {label}: no verdict: {error}", flush=True)
+            print(f"FAILED: {label}: no result: {error}", flush=True)
             return Tally(failed=1)
     if result.returncode != 0 and not (tally.failed or tally.known_red):
         tally.failed += 1
@@ -155,8 +155,8 @@
 
 def _in_order(features: list[Path]) -> list[Path]:
     paths = [ROOT / "features" / f"{name}.feature" for name in LONGEST_FIRST]
-    place = {path: number for number, path in enumerate(paths)}
-    return sorted(features, key=lambda f: (place.get(f, len(paths)), f))
+    position = {path: number for number, path in enumerate(paths)}
+    return sorted(features, key=lambda f: (position.get(f, len(paths)), f))
 
 
 def main() -> int:
