--- a/features/bench/sharing.feature
+++ b/features/bench/sharing.feature
@@ -1,14 +1,15 @@
-Feature: The bench of sharing VMs, on virtual time
+Feature: The bench that compares policies for sharing VMs, on virtual time
 
-  Scenario: The same seed gives the same day
-    When the fleet of seed 3 is played twice as it is
-    Then both days have the same outcome
+  Scenario: Two simulations with the same seed have the same outcome
+    # Guards against state outside the seed, which would make policies incomparable.
+    When the fleet of seed 3 is simulated twice with the product's policy
+    Then both simulations have the same outcome
 
-  Scenario: With nothing beside what serves, nobody is slowed and less gets done
-    # Guards against a bench that cannot tell policies apart.
-    When the fleet of seed 3 is played as it is, and with nothing beside what serves
+  Scenario: Without filling tasks on serving VMs, less is slowed and less gets done
+    # Guards against a bench that cannot distinguish policies.
+    When the fleet of seed 3 is simulated with the product's policy, and without sharing
     Then the second has fewer seconds over target, and less filling work done
 
-  Scenario: Bad input names the value and what is allowed
+  Scenario: An invalid option is reported with its value and the allowed ones
     When the bench of sharing is run with "--policies luck"
     Then it ends with code 2 and says "--policies: got 'luck', allowed: "
--- a/features/steps/bench_sharing_steps.py
+++ b/features/steps/bench_sharing_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the bench of sharing VMs."""
+"""Steps for the bench that compares policies for sharing VMs."""
 
 import os
 import subprocess
@@ -12,29 +12,32 @@
 ROOT = Path(__file__).resolve().parent.parent.parent
 
 
-@when("the fleet of seed {seed:d} is played twice as it is")
+@when("the fleet of seed {seed:d} is simulated twice with the product's policy")
 def step_twice(context, seed):
-    context.days = [run_one("as-is", seed, 1.0) for _ in range(2)]
+    context.outcomes = [run_one("as-is", seed, 1.0) for _ in range(2)]
 
 
-@then("both days have the same outcome")
+@then("both simulations have the same outcome")
 def step_same(context):
-    first, second = context.days
-    assert first == second, context.days
+    first, second = context.outcomes
+    assert first == second, context.outcomes
 
 
 @when(
-    "the fleet of seed {seed:d} is played as it is, and with nothing beside what serves"
+    "the fleet of seed {seed:d} is simulated with the product's policy,"
+    " and without sharing"
 )
 def step_two_policies(context, seed):
-    context.days = [run_one(name, seed, 1.0) for name in ("as-is", "nothing-beside")]
+    context.outcomes = [
+        run_one(name, seed, 1.0) for name in ("as-is", "nothing-beside")
+    ]
 
 
 @then("the second has fewer seconds over target, and less filling work done")
 def step_fewer(context):
-    first, second = context.days
-    assert second.seconds_over < first.seconds_over, context.days
-    assert second.filling < first.filling, context.days
+    first, second = context.outcomes
+    assert second.seconds_over < first.seconds_over, context.outcomes
+    assert second.filling < first.filling, context.outcomes
 
 
 @when('the bench of sharing is run with "{arguments}"')
--- a/features/steps/bench_steps.py
+++ b/features/steps/bench_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the bench, and on the decisions it measures."""
+"""Steps for the bench's commands, and for the decisions it measures."""
 
 import os
 import subprocess
@@ -30,10 +30,10 @@
 ANSWERS = 200
 
 
-def product(load, seconds=5.0, seed=7, broken=None):
+def run_product(load, seconds=5.0, seed=7, inject_faults=None):
     policy = policy_named("product")
     return run_services(
-        TATRASTART, policy, load=load, seconds=seconds, seed=seed, faults=broken
+        TATRASTART, policy, load=load, seconds=seconds, seed=seed, faults=inject_faults
     )
 
 
@@ -54,17 +54,19 @@
 
 @when("the steady scenario is run twice with seed {seed:d}")
 def step_twice(context, seed):
-    context.runs = [product(0.7, seconds=4.0, seed=seed) for _ in range(2)]
+    context.runs = [run_product(0.7, seconds=4.0, seed=seed) for _ in range(2)]
 
 
-@then("both runs give the same figures")
+@then("both runs give the same measures")
 def step_same(context):
     assert context.runs[0] == context.runs[1], context.runs
 
 
-@when("one endpoint fails at once at {load:g} of the capacity")
+@when(
+    "one endpoint fails every request at once under a load of {load:g} of the capacity"
+)
 def step_failing(context, load):
-    context.run = product(load, broken=faults.failing_endpoint)
+    context.run = run_product(load, inject_faults=faults.failing_endpoint)
 
 
 @then("less than {count:d} of 1000 requests end in an error")
@@ -76,20 +78,20 @@
     "an endpoint with {count:d} requests in flight and an average latency of {ms:d} ms"
 )
 def step_endpoint(context, count, ms):
-    context.quiet = _record(count, ms / 1000)
+    context.silent = _record(count, ms / 1000)
     context.other = _record(2 * count, ms / 1000)
 
 
-@when("nothing is heard from it for {seconds:g} s")
-def step_nothing_heard(context, seconds):
+@when("nothing is received from it for {seconds:g} s")
+def step_nothing_received(context, seconds):
     context.now = 10.0 + seconds
     context.other.told(Load(6, 0, 8), context.now)
 
 
-@then("it costs more than an endpoint with 6 requests that answered just now")
+@then("its cost is higher than that of one with 6 requests that has just answered")
 def step_costs_more(context):
-    quiet, other = context.quiet.cost(context.now), context.other.cost(context.now)
-    assert quiet > other, (quiet, other)
+    silent, other = context.silent.cost(context.now), context.other.cost(context.now)
+    assert silent > other, (silent, other)
 
 
 def _record(in_flight, latency):
@@ -102,7 +104,7 @@
 
 @when("twice the capacity arrives")
 def step_twice_capacity(context):
-    context.run = product(2.0, seconds=4.0)
+    context.run = run_product(2.0, seconds=4.0)
 
 
 @then("answers in time reach {share:g} of the capacity")
@@ -115,9 +117,6 @@
     assert context.run["retries_share"] < 0.1, context.run
 
 
-# ---- interference
-
-
 def neighbours(*classes):
     return [
         Neighbour(AttemptId(f"{name}/{index}"), name, cores=6.0, used_cores=6.0)
@@ -125,7 +124,7 @@
     ]
 
 
-def tail(median, over=0, count=ANSWERS):
+def latency(median, over=0, count=ANSWERS):
     return {SERVICE: LatencySummary(count, over, median)}
 
 
@@ -133,55 +132,55 @@
 def step_vm(context, ms, count):
     context.median = ms / 1000
     context.control = InterferenceController()
-    context.beside = []
-    context.steps = []
+    context.neighbours = []
+    context.actions = []
     for _ in range(count):
-        context.control.step(tail(context.median), [])
+        context.control.step(latency(context.median), [])
 
 
 @given('tasks of class "{name}" beside it for {count:d} intervals')
-def step_beside(context, name, count):
-    context.beside = neighbours(name, name)
+def step_neighbours(context, name, count):
+    context.neighbours = neighbours(name, name)
     for _ in range(count):
-        context.control.step(tail(context.median), context.beside)
+        context.control.step(latency(context.median), context.neighbours)
 
 
 @when('tasks of class "{name}" join and double its latency')
 def step_join(context, name):
     joined = neighbours(name, name)
     context.now_median = 2 * context.median
-    # The usage lags: the first interval beside them shows no use of theirs yet.
-    unseen = [replace(neighbour, used_cores=0.0) for neighbour in joined]
-    seen = tail(context.now_median, over=20)
-    context.steps += context.control.step(seen, [*context.beside, *unseen])
-    context.beside = [*context.beside, *joined]
+    # Usage is reported late: in the first interval they do not show any use yet.
+    unreported = [replace(neighbour, used_cores=0.0) for neighbour in joined]
+    summary = latency(context.now_median, over=20)
+    context.actions += context.control.step(summary, [*context.neighbours, *unreported])
+    context.neighbours = [*context.neighbours, *joined]
 
 
-def _go_on(context, intervals):
+def _run_intervals(context, intervals):
     for _ in range(intervals):
-        seen = tail(context.now_median, over=20)
-        context.steps += context.control.step(seen, context.beside)
+        summary = latency(context.now_median, over=20)
+        context.actions += context.control.step(summary, context.neighbours)
 
 
 @then('within {count:d} intervals only tasks of class "{name}" are throttled')
 def step_throttled(context, count, name):
-    _go_on(context, count)
-    throttled = [s for s in context.steps if isinstance(s, Throttle)]
-    assert throttled, context.steps
-    assert all(s.attempt.startswith(name) for s in context.steps), context.steps
+    _run_intervals(context, count)
+    throttled = [a for a in context.actions if isinstance(a, Throttle)]
+    assert throttled, context.actions
+    assert all(a.attempt.startswith(name) for a in context.actions), context.actions
 
 
 @then('within {count:d} more intervals only tasks of class "{name}" are evicted')
 def step_evicted(context, count, name):
-    _go_on(context, count)
-    evicted = [s for s in context.steps if isinstance(s, Evict)]
-    assert evicted, context.steps
-    assert all(s.attempt.startswith(name) for s in evicted), evicted
+    _run_intervals(context, count)
+    evicted = [a for a in context.actions if isinstance(a, Evict)]
+    assert evicted, context.actions
+    assert all(a.attempt.startswith(name) for a in evicted), evicted
 
 
 def _refusal(context, name):
-    held = neighbours("index")
-    return context.control.refusal([SERVICE], held, name, 6.0)
+    present = neighbours("index")
+    return context.control.refusal([SERVICE], present, name, 6.0)
 
 
 @then('one more task of class "{name}" is refused')
@@ -189,25 +188,22 @@
     assert name in _refusal(context, name), context.control.score_by_pair
 
 
-@then('one more task of class "{name}" is taken')
-def step_taken(context, name):
+@then('one more task of class "{name}" is accepted')
+def step_accepted(context, name):
     assert not _refusal(context, name), context.control.score_by_pair
 
 
 @when("{over:d} of {count:d} answers an interval is over target for {n:d} intervals")
 def step_chance(context, over, count, n):
-    beside = neighbours("index", "render")
+    present = neighbours("index", "render")
     for _ in range(n):
-        seen = tail(context.median, over, count)
-        context.steps += context.control.step(seen, beside)
+        summary = latency(context.median, over, count)
+        context.actions += context.control.step(summary, present)
 
 
 @then("nothing was throttled or evicted")
 def step_nothing(context):
-    assert not context.steps, context.steps
-
-
-# ---- learned sizes
+    assert not context.actions, context.actions
 
 
 @given(
@@ -217,20 +213,20 @@
 def step_class(context, declared, used, count):
     context.declared = Resources(declared, 1000)
     context.usage_estimates = UsageEstimates()
-    _use(context, used, count)
+    _add_samples(context, used, count)
 
 
 @when("its next {count:d} tasks use {used:d} core")
 def step_next(context, count, used):
-    _use(context, used, count)
+    _add_samples(context, used, count)
 
 
 @when("a task uses {used:d} cores")
 def step_uses(context, used):
-    _use(context, used, 10 * MIN_SAMPLES)
+    _add_samples(context, used, 10 * MIN_SAMPLES)
 
 
-def _use(context, used, count):
+def _add_samples(context, used, count):
     for _ in range(count):
         sample = Sample(Resources(used, 1000), 5.0)
         context.usage_estimates.add(TEAM, "ledger", sample)
