--- a/bench/batch.py
+++ b/bench/batch.py
@@ -339,8 +339,8 @@
         seconds = self.random.uniform(*self.batch.run_seconds)
         usage_factor = self._usage_factor(job_class)
         self.submitted_jobs += 1
-        usage = f"{self.batch.cores * usage_factor:.2f}:{self.batch.memory_mb}"
-        command = f"sleep:{seconds:.2f}:{usage}"
+        used = f"{self.batch.cores * usage_factor:.2f}:{self.batch.memory_mb}"
+        command = f"sleep:{seconds:.2f}:{used}"
         if self.batch.failing_command and self.submitted_jobs % 10 == 0:
             command = self.batch.failing_command
         spec = JobSpec(
--- a/bench/mesh.py
+++ b/bench/mesh.py
@@ -193,8 +193,8 @@
 
     def _reaches(self, source: MeshNode, target: MeshNode) -> bool:
         partitions = self.partition_by_port
-        source_partition = partitions.get(source.port, 0)
-        return target.alive and source_partition == partitions.get(target.port, 0)
+        is_same = partitions.get(source.port, 0) == partitions.get(target.port, 0)
+        return target.alive and is_same
 
     def _send(self, source: MeshNode, target: MeshNode, frame: Frame) -> None:
         size = len(encode(frame))
--- a/bench/sharing.py
+++ b/bench/sharing.py
@@ -99,8 +99,11 @@
         differences = [
             one.worth - other.worth for one, other in zip(outcomes, first, strict=True)
         ]
-        count = len(differences)
-        standard_error = stdev(differences) / math.sqrt(count) if count > 1 else 0.0
+        standard_error = (
+            stdev(differences) / math.sqrt(len(differences))
+            if len(differences) > 1
+            else 0.0
+        )
         rows[policy] = {
             "worth": fmean(o.worth for o in outcomes),
             "serving": fmean(o.serving for o in outcomes),
--- a/features/steps/bench_steps.py
+++ b/features/steps/bench_steps.py
@@ -124,7 +124,7 @@
     ]
 
 
-def latency(median, over=0, count=ANSWERS):
+def latency_summaries(median, over=0, count=ANSWERS):
     return {SERVICE: LatencySummary(count, over, median)}
 
 
@@ -135,14 +135,14 @@
     context.neighbours = []
     context.actions = []
     for _ in range(count):
-        context.control.step(latency(context.median), [])
+        context.control.step(latency_summaries(context.median), [])
 
 
 @given('tasks of class "{name}" beside it for {count:d} intervals')
 def step_neighbours(context, name, count):
     context.neighbours = neighbours(name, name)
     for _ in range(count):
-        context.control.step(latency(context.median), context.neighbours)
+        context.control.step(latency_summaries(context.median), context.neighbours)
 
 
 @when('tasks of class "{name}" join and double its latency')
@@ -151,14 +151,14 @@
     context.now_median = 2 * context.median
     # Usage is reported late: in the first interval they do not show any use yet.
     unreported = [replace(neighbour, used_cores=0.0) for neighbour in joined]
-    summary = latency(context.now_median, over=20)
+    summary = latency_summaries(context.now_median, over=20)
     context.actions += context.control.step(summary, [*context.neighbours, *unreported])
     context.neighbours = [*context.neighbours, *joined]
 
 
 def _run_intervals(context, intervals):
     for _ in range(intervals):
-        summary = latency(context.now_median, over=20)
+        summary = latency_summaries(context.now_median, over=20)
         context.actions += context.control.step(summary, context.neighbours)
 
 
@@ -197,7 +197,7 @@
 def step_chance(context, over, count, n):
     present = neighbours("index", "render")
     for _ in range(n):
-        summary = latency(context.median, over, count)
+        summary = latency_summaries(context.median, over, count)
         context.actions += context.control.step(summary, present)
 
 
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -94,10 +94,7 @@
                 _print(command, output)
                 return output
             time.sleep(RETRY_PAUSE_SECONDS)
-        raise DemoError(
-            f"`{command}` did not print '{expected}' within "
-            f"{OUTPUT_TIMEOUT_SECONDS} s, but: {output}"
-        )
+        raise DemoError(f"`{command}` did not print '{expected}', but: {output}")
 
     def _run(self, command: str) -> tuple[int, str]:
         result = subprocess.run(
