--- a/features/steps/batch_fuzz_steps.py
+++ b/features/steps/batch_fuzz_steps.py
@@ -92,7 +92,7 @@
         spec = JobSpec(
             job, TEAM.name, shard, tasks, task, 0.0, False, "", LONG_DEADLINE_SECONDS
         )
-        answer = self.deployment.order(vm, shard, SubmitJob(spec))
+        answer = self.deployment.send_to_owner(vm, shard, SubmitJob(spec))
         if isinstance(answer, JobAccount):
             self.accepted.setdefault(job, (tasks, shard))
             self.refused.discard(job)
@@ -109,7 +109,7 @@
         if vm in self.deployment.agent_by_vm:
             shard = self.accepted[job][1]
             self.cancelled.add(job)
-            self.deployment.order(vm, shard, CancelJob(job, shard))
+            self.deployment.send_to_owner(vm, shard, CancelJob(job, shard))
 
     @precondition(lambda self: len(self._live()) > 1)
     @rule(data=st.data(), vm_too=st.booleans())
@@ -140,12 +140,12 @@
     @rule(vm=st.sampled_from(VMS))
     def cut(self, vm):
         """Partition an agent from the others."""
-        self.deployment.cut(vm)
+        self.deployment.isolate(vm)
 
     @rule()
     def heal(self):
         """Heal all partitions."""
-        self.deployment.cut_off.clear()
+        self.deployment.isolated.clear()
 
     @rule(down=st.booleans())
     def store(self, down):
@@ -155,8 +155,8 @@
     @rule(count=st.integers(1, 3), workers_too=st.booleans())
     def lose_answers(self, count, workers_too):
         """Lose the next answers of the store, and of the workers."""
-        self.deployment.lost_answers = count
-        self.deployment.lost_worker_answers = count if workers_too else 0
+        self.deployment.store_answers_to_lose = count
+        self.deployment.worker_answers_to_lose = count if workers_too else 0
 
     @rule(out=st.booleans())
     def zone(self, out):
@@ -195,8 +195,8 @@
     def _settle(self):
         deployment = self.deployment
         deployment.store_down = False
-        deployment.lost_answers = deployment.lost_worker_answers = 0
-        deployment.cut_off.clear()
+        deployment.store_answers_to_lose = deployment.worker_answers_to_lose = 0
+        deployment.isolated.clear()
         self.zone(False)
         self.start()
         until = self._now() + SETTLE_TIMEOUT_SECONDS
--- a/features/steps/requests_fuzz_steps.py
+++ b/features/steps/requests_fuzz_steps.py
@@ -15,7 +15,7 @@
     run_state_machine_as_test,
 )
 
-from standins.callers import SERVICE, Caller, problems
+from standins.callers import SERVICE, Caller, find_false_answers
 from standins.processes import HttpError, http
 
 CALLER_THREADS = 32
@@ -123,7 +123,7 @@
         self.link.faults()
         wait(self.calls)
         self.pool.shutdown()
-        violations = problems(self.context.cluster, self.answers)
+        violations = find_false_answers(self.context.cluster, self.answers)
         assert not violations, violations[:10]
 
 
@@ -149,7 +149,7 @@
 @then("every answer to a caller agrees with the endpoints' records")
 def step_check_answers(context):
     answers = RequestPath.answers
-    violations = problems(context.cluster, answers)
+    violations = find_false_answers(context.cluster, answers)
     assert not violations, violations[:10]
     answered = sum(call.status == 200 for call in answers)
     print(f"{len(answers)} calls, {answered} answered 200")
