--- a/bench/sharing_fleet.py
+++ b/bench/sharing_fleet.py
@@ -13,7 +13,7 @@
 
 from wagtailcleat.ids import JobId, NodeId, ServiceName, ZoneName
 from wagtailcleat.resources import Resources
-from wagtailcleat.scheduling.book import record_of
+from wagtailcleat.scheduling.job_table import record_of
 from wagtailcleat.scheduling.models import (
     Ended,
     Job,
@@ -222,7 +222,7 @@
 
     def _submit(self, job: Job) -> None:
         self._jobs.append(job)
-        self._scheduler.book.add(job, now=self._now, wall_now=self._now)
+        self._scheduler.job_table.add(job, now=self._now, wall_now=self._now)
 
     # ---- the leader
 
@@ -244,8 +244,8 @@
 
     def _hand_over(self, before: Scheduler, scheduler: Scheduler) -> None:
         scheduler.unheard = set(self._workers)
-        for entry in before.book.entry_by_id.values():
-            new = scheduler.book.add(
+        for entry in before.job_table.entry_by_id.values():
+            new = scheduler.job_table.add(
                 entry.job, now=self._now, wall_now=self._now, record=record_of(entry)
             )
             new.settled = False
@@ -294,7 +294,7 @@
         scheduler = self._scheduler
         scheduler.expire(now=self._now, predecessors_until=self._now - HORIZON)
         scheduler.place(now=self._now, wall_now=self._now)
-        for entry in scheduler.book.entry_by_id.values():
+        for entry in scheduler.job_table.entry_by_id.values():
             scheduler.committed(entry, entry.version)
             if entry.state.final:
                 self._done_at_by_job.setdefault(entry.job.id, self._now)
@@ -315,7 +315,7 @@
     # ---- the workers
 
     def _begin(self, key: RunKey) -> _Run:
-        job = self._scheduler.book.entry_by_id[key.task.job].job
+        job = self._scheduler.job_table.entry_by_id[key.task.job].job
         seconds = self._work_by_job.get(key.task.job, math.inf)
         left = self._left_by_task.get(key.task, seconds)
         fails = self._random.random() < FAIL_SHARE and left < math.inf
--- a/features/steps/bursts_steps.py
+++ b/features/steps/bursts_steps.py
@@ -17,7 +17,7 @@
 )
 from wagtailcleat.resources import Resources
 from wagtailcleat.scheduling import placement
-from wagtailcleat.scheduling.book import JobTable
+from wagtailcleat.scheduling.job_table import JobTable
 from wagtailcleat.scheduling.models import WorkerInfo, WorkerState
 from wagtailcleat.scheduling.placement import Candidates, choose
 from wagtailcleat.scheduling.vms import HostedRun, Vm
@@ -191,7 +191,7 @@
 
 
 def _lengthen_specs(world):
-    for entry in world.scheduler.book.open_by_id.values():
+    for entry in world.scheduler.job_table.open_by_id.values():
         entry.job = msgspec.structs.replace(entry.job, spec="x" * START_BYTES)
 
 
@@ -272,7 +272,7 @@
 def step_cancel_all(context):
     _place_and_hold(context)
     world = context.world
-    for job in list(world.scheduler.book.open_by_id):
+    for job in list(world.scheduler.job_table.open_by_id):
         world.scheduler.cancel(job, now=world.now, wall_now=world.wall_now)
 
 
--- a/features/steps/checkpoint_delta_steps.py
+++ b/features/steps/checkpoint_delta_steps.py
@@ -196,7 +196,7 @@
 
 @then("each task continues from its checkpoint")
 def step_continues(context):
-    book = context.world.scheduler.book
+    job_table = context.world.scheduler.job_table
     for key in context.keys:
-        task = book.find_task(key.task)
+        task = job_table.find_task(key.task)
         assert task.checkpoint == context.checkpoints[key.task]
--- a/features/steps/ended_runs_fuzz.py
+++ b/features/steps/ended_runs_fuzz.py
@@ -9,7 +9,7 @@
 from features.steps.scheduling_fuzz import History
 from features.steps.scheduling_world import make_job, plain
 from wagtailcleat.cluster.keys import decode, encode
-from wagtailcleat.scheduling.book import JobEntry, JobTable, TaskState, record_of
+from wagtailcleat.scheduling.job_table import JobEntry, JobTable, TaskState, record_of
 from wagtailcleat.scheduling.models import (
     JobRecord,
     JobState,
@@ -89,23 +89,23 @@
     def start_leader(self) -> None:
         """Replace the leader by one that restores the stored record."""
         record = decode(self.stored, JobRecord) if self.stored else None
-        self.book = JobTable()
+        self.job_table = JobTable()
         self.reported: set[End] = set()
         self.durable: set[End] = set()
         job = make_job(JOB, plain(TASKS, checkpointable=True), attempts=ATTEMPTS)
-        self.book.add(job, now=0.0, wall_now=job.accepted_at, record=record)
+        self.job_table.add(job, now=0.0, wall_now=job.accepted_at, record=record)
 
     @property
     def entry(self) -> JobEntry:
         """The job as the present leader sees it."""
-        return self.book.entry_by_id[JOB]
+        return self.job_table.entry_by_id[JOB]
 
     def report(self, end: End) -> None:
         """Deliver an end to the present leader, if it is still listed."""
         if end not in self.listed:
             return
         self.reported.add(end)
-        self.book.record_end(
+        self.job_table.record_end(
             end.run, end.how, end.checkpoint, node=end.node, now=0.0, wall_now=0.0
         )
 
@@ -203,7 +203,7 @@
     def check(self) -> None:
         """Also assert that no more failures are counted than there were."""
         super().check()
-        for entry in self.world.scheduler.book.entry_by_id.values():
+        for entry in self.world.scheduler.job_table.entry_by_id.values():
             for task in entry.tasks():
                 assert task.failed_runs <= self.failed_by_task[task.key], task
             if entry.state is JobState.FAILED:
--- a/features/steps/ended_runs_steps.py
+++ b/features/steps/ended_runs_steps.py
@@ -13,7 +13,7 @@
     plain,
 )
 from wagtailcleat.cluster.keys import decode
-from wagtailcleat.scheduling.book import record_of
+from wagtailcleat.scheduling.job_table import record_of
 from wagtailcleat.scheduling.models import (
     JobRecord,
     JobState,
@@ -25,8 +25,8 @@
 
 def _records(world):
     """Return the jobs with the records that the leader would store now."""
-    book = world.scheduler.book
-    return [(entry.job, record_of(entry)) for entry in book.entry_by_id.values()]
+    job_table = world.scheduler.job_table
+    return [(entry.job, record_of(entry)) for entry in job_table.entry_by_id.values()]
 
 
 def _restart_leader(context, stored=None):
@@ -40,7 +40,7 @@
         worker.orders_taken = 0
         worker.session += 1
     for job, record in stored:
-        entry = world.scheduler.book.add(
+        entry = world.scheduler.job_table.add(
             job, now=world.now, wall_now=world.wall_now, record=record
         )
         entry.settled = False
@@ -261,7 +261,7 @@
 @then('job "{name}" has failed after {count:d} start')
 def step_failed_after(context, name, count):
     _rounds(context.world, 2)
-    entry = context.world.scheduler.book.entry_by_id[name]
+    entry = context.world.scheduler.job_table.entry_by_id[name]
     assert entry.state is JobState.FAILED, entry.state
     assert len(context.world.starts) == count, context.world.starts
 
--- a/features/steps/late_words_steps.py
+++ b/features/steps/late_words_steps.py
@@ -83,7 +83,7 @@
 
 @then('job "{name}" has ended as failed, and runs no more')
 def step_ended_failed(context, name):
-    entry = context.world.scheduler.book.entry_by_id[name]
+    entry = context.world.scheduler.job_table.entry_by_id[name]
     _rounds(context.world)
     assert entry.state is JobState.FAILED, entry.state
     assert not _members(context.world, name)
@@ -99,7 +99,7 @@
     # Those runs are assumed to fail at once: each only uses up a number.
     world = context.world
     (worker, key), *_ = _members(world, context.job)
-    world.scheduler.book.find_task(key.task).highest_run = count
+    world.scheduler.job_table.find_task(key.task).highest_run = count
     worker.end(key, RunEnd.FAILED)
     _rounds(world)
     (worker, key), *_ = _members(world, context.job)
@@ -139,7 +139,9 @@
     world = context.world
     world.lead(2)
     job, record = context.stored
-    world.scheduler.book.add(job, now=world.now, wall_now=world.wall_now, record=record)
+    world.scheduler.job_table.add(
+        job, now=world.now, wall_now=world.wall_now, record=record
+    )
     _rounds(world)
     world.end_all(RunEnd.FAILED)
     _rounds(world)
@@ -153,7 +155,7 @@
     world.report(worker)
     worker.ended = []
     key = TaskKey(context.job, 0, 0, 0)
-    task = world.scheduler.book.find_task(key)
+    task = world.scheduler.job_table.find_task(key)
     assert RunKey(key, context.second_key.run).run in task.failed_runs
 
 
--- a/features/steps/leader_steps.py
+++ b/features/steps/leader_steps.py
@@ -155,7 +155,7 @@
 def step_watch(context):
     world = context.leading
     world.store.delivers_changes = True
-    world.until(lambda: JOB in world.leader.scheduler.book.entry_by_id)
+    world.until(lambda: JOB in world.leader.scheduler.job_table.entry_by_id)
 
 
 @then("only that run continues")
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -46,7 +46,7 @@
 
 @then("no job has failed")
 def step_none_failed(context):
-    entries = context.world.scheduler.book.entry_by_id
+    entries = context.world.scheduler.job_table.entry_by_id
     failed = [job for job, entry in entries.items() if entry.state is JobState.FAILED]
     assert not failed, failed
 
--- a/features/steps/restoring_steps.py
+++ b/features/steps/restoring_steps.py
@@ -200,7 +200,7 @@
     world.pause()
     world.lead(epoch=3)
     world.until(lambda: world.leader.ready)
-    entry_by_id = world.leader.scheduler.book.entry_by_id
+    entry_by_id = world.leader.scheduler.job_table.entry_by_id
     assert len(context.open) == count
     assert all(entry_by_id[job].job.spec for job in context.open)
     assert all(entry_by_id[job].job.steps for job in context.jobs)
--- a/features/steps/scheduling_fuzz.py
+++ b/features/steps/scheduling_fuzz.py
@@ -14,7 +14,7 @@
     plain,
     serving,
 )
-from wagtailcleat.scheduling.book import TaskState, record_of
+from wagtailcleat.scheduling.job_table import TaskState, record_of
 from wagtailcleat.scheduling.models import RunEnd
 from wagtailcleat.scheduling.placement import choose
 
@@ -185,7 +185,7 @@
         world = self.world
         self.held_orders.clear()
         self.epoch += 1
-        entries = list(world.scheduler.book.entry_by_id.values())
+        entries = list(world.scheduler.job_table.entry_by_id.values())
         world.lead(self.epoch)
         world.scheduler.unheard = set(self.nodes)
         for worker in world.worker_by_node.values():
@@ -193,13 +193,13 @@
             worker.orders_taken = 0
         for entry in entries:
             record = self.records.get(entry.job.id)
-            world.scheduler.book.add(
+            world.scheduler.job_table.add(
                 entry.job, now=world.now, wall_now=world.wall_now, record=record
             ).settled = False
 
     def do_commit(self, number: int) -> None:
         """Make all progress durable."""
-        for entry in self.world.scheduler.book.entry_by_id.values():
+        for entry in self.world.scheduler.job_table.entry_by_id.values():
             if entry.version > entry.committed:
                 self.records[entry.job.id] = record_of(entry)
         self.world.commit()
@@ -217,13 +217,13 @@
         for _, key in self.runs():
             assert key.task not in seen, f"{key} and {seen[key.task]} run at once"
             seen[key.task] = key
-        book = self.world.scheduler.book
+        job_table = self.world.scheduler.job_table
         for worker in self.world.worker_by_node.values():
             cores = 0.0
             for key in worker.running:
-                step = book.entry_by_id[key.task.job].job.steps[key.task.step]
+                step = job_table.entry_by_id[key.task.job].job.steps[key.task.step]
                 cores += 0.0 if step.fills else step.size.cores
-                self.check_order(key, book)
+                self.check_order(key, job_table)
             assert cores <= CORES + 1e-6, f"{worker.node} runs {cores} cores"
 
     def check_no_room_missed(self) -> None:
@@ -234,22 +234,22 @@
         """
         scheduler = self.world.scheduler
         usable = [vm for vm in scheduler.vm_by_node.values() if vm.is_usable]
-        for entry in scheduler.book.entry_by_id.values():
+        for entry in scheduler.job_table.entry_by_id.values():
             for step, tasks in entry.tasks_by_step.items():
                 waiting = [t for t in tasks if t.state is TaskState.WAITING]
                 if not entry.open or not entry.settled or not waiting:
                     continue
                 if waiting[0].step.gang or waiting[0].step.fills:
                     continue
-                if not scheduler.book.is_ready(entry, step):
+                if not scheduler.job_table.is_ready(entry, step):
                     continue
                 task = waiting[0]
                 vm = choose(usable, task, now=self.world.now, racks=Counter())
                 assert vm is None, f"{task.key} waits although {vm} has room"
 
-    def check_order(self, key, book) -> None:
+    def check_order(self, key, job_table) -> None:
         """Assert that a run of a later step follows the success of the earlier one."""
-        entry = book.entry_by_id[key.task.job]
+        entry = job_table.entry_by_id[key.task.job]
         for earlier in entry.job.steps[key.task.step].after:
             left = entry.unfinished_by_step[key.task.occurrence, earlier]
             if entry.settled and entry.open:
--- a/features/steps/scheduling_steps.py
+++ b/features/steps/scheduling_steps.py
@@ -12,7 +12,7 @@
     plain,
     serving,
 )
-from wagtailcleat.scheduling.book import record_of
+from wagtailcleat.scheduling.job_table import record_of
 from wagtailcleat.scheduling.models import JobState, Refusal, RunEnd
 
 ROUNDS = 5
@@ -268,7 +268,7 @@
 @then('it was started {count:d} times and job "{name}" has failed')
 def step_failed(context, count, name):
     assert len(context.world.starts) == count, context.world.starts
-    entry = context.world.scheduler.book.entry_by_id[name]
+    entry = context.world.scheduler.job_table.entry_by_id[name]
     assert entry.durable_state is JobState.FAILED, entry.state
 
 
@@ -297,7 +297,7 @@
 @then("its end is not acknowledged and it is shown as {state}")
 def step_not_acknowledged(context, state):
     worker = context.world.worker_by_node["vm-1"]
-    entry = context.world.scheduler.book.entry_by_id[context.job]
+    entry = context.world.scheduler.job_table.entry_by_id[context.job]
     assert worker.acknowledged == 0
     assert entry.durable_state.value == state, entry.durable_state
 
@@ -311,7 +311,7 @@
 @then("its end is acknowledged and it is shown as {state}")
 def step_acknowledged(context, state):
     worker = context.world.worker_by_node["vm-1"]
-    entry = context.world.scheduler.book.entry_by_id[context.job]
+    entry = context.world.scheduler.job_table.entry_by_id[context.job]
     assert worker.acknowledged == 1
     assert entry.durable_state.value == state, entry.durable_state
 
@@ -360,12 +360,14 @@
 def _restored(context):
     """Replace the leader by one that restores the stored records; return the world."""
     world = context.world
-    book = world.scheduler.book
-    records = [(entry.job, record_of(entry)) for entry in book.entry_by_id.values()]
+    job_table = world.scheduler.job_table
+    records = [
+        (entry.job, record_of(entry)) for entry in job_table.entry_by_id.values()
+    ]
     world.lead(2)
     world.scheduler.unheard = set(world.worker_by_node)
     for job, record in records:
-        world.scheduler.book.add(
+        world.scheduler.job_table.add(
             job, now=world.now, wall_now=world.wall_now, record=record
         ).settled = False
     return world
@@ -446,7 +448,7 @@
 
 @then('job "{name}" has succeeded without another start')
 def step_succeeded(context, name):
-    entry = context.world.scheduler.book.entry_by_id[name]
+    entry = context.world.scheduler.job_table.entry_by_id[name]
     assert entry.state is JobState.SUCCEEDED, entry.state
     step_no_second(context)
 
@@ -557,7 +559,7 @@
         world.end_all()
         world.now += 0.7
         world.round()
-    for entry in world.scheduler.book.entry_by_id.values():
+    for entry in world.scheduler.job_table.entry_by_id.values():
         done += entry.ended_at - entry.job.accepted_at <= 3.0 and (
             entry.state is JobState.SUCCEEDED
         )
@@ -605,7 +607,7 @@
 def _question(world):
     scheduler = world.scheduler
     return scheduler.advice.question(
-        scheduler.book,
+        scheduler.job_table,
         scheduler.vm_by_node.values(),
         now=world.now,
         wall_now=world.wall_now,
@@ -704,11 +706,11 @@
     (key,) = worker.running
     worker.end(key, RunEnd.FAILED)
     world.report(worker)
-    entry = world.scheduler.book.entry_by_id[context.job]
+    entry = world.scheduler.job_table.entry_by_id[context.job]
     record = record_of(entry)
     world.lead(2)
     world.scheduler.unheard = {worker.node}
-    world.scheduler.book.add(
+    world.scheduler.job_table.add(
         entry.job, now=world.now, wall_now=world.wall_now, record=record
     ).settled = False
     worker.orders_taken = 0
@@ -718,6 +720,6 @@
 
 @then('job "{name}" has not failed, and runs again')
 def step_not_failed(context, name):
-    entry = context.world.scheduler.book.entry_by_id[name]
+    entry = context.world.scheduler.job_table.entry_by_id[name]
     assert entry.open, entry.state
     assert context.world.running_nodes(name), "it does not run"
--- a/features/steps/scheduling_world.py
+++ b/features/steps/scheduling_world.py
@@ -161,7 +161,7 @@
 
     def submit(self, job: Job):
         """Submit a job."""
-        return self.scheduler.book.add(job, now=self.now, wall_now=self.wall_now)
+        return self.scheduler.job_table.add(job, now=self.now, wall_now=self.wall_now)
 
     def report(self, worker: SimulatedWorker) -> None:
         """Deliver a worker's report."""
@@ -176,7 +176,7 @@
     def _use_cores(self, worker: SimulatedWorker) -> None:
         """Let filling runs report the cores that their pace allows them."""
         for key in worker.running:
-            entry = self.scheduler.book.entry_by_id.get(key.task.job)
+            entry = self.scheduler.job_table.entry_by_id.get(key.task.job)
             if entry is not None and entry.job.steps[key.task.step].fills:
                 pace = worker.pace_by_run.get(key, 100) / 100
                 cores = entry.job.steps[key.task.step].size.cores
@@ -204,7 +204,7 @@
 
     def commit(self) -> None:
         """Mark all progress as stored."""
-        for entry in self.scheduler.book.entry_by_id.values():
+        for entry in self.scheduler.job_table.entry_by_id.values():
             self.scheduler.committed(entry, entry.version)
 
     def running_nodes(self, job: str) -> list[str]:
--- a/features/steps/sharing_world.py
+++ b/features/steps/sharing_world.py
@@ -99,6 +99,6 @@
                 self.done += 1
 
     def _step(self, key):
-        return self.world.scheduler.book.entry_by_id[key.task.job].job.steps[
+        return self.world.scheduler.job_table.entry_by_id[key.task.job].job.steps[
             key.task.step
         ]
--- a/wagtailcleat/cluster/jobs.py
+++ b/wagtailcleat/cluster/jobs.py
@@ -21,7 +21,7 @@
 from wagtailcleat.ids import JobId
 from wagtailcleat.logs import part_logger
 from wagtailcleat.platform.keyvalue import KeyValueStore
-from wagtailcleat.scheduling.book import JobEntry
+from wagtailcleat.scheduling.job_table import JobEntry
 from wagtailcleat.scheduling.models import Job, JobRecord
 from wagtailcleat.scheduling.scheduler import Scheduler
 from wagtailcleat.storage import (
@@ -97,9 +97,9 @@
         Parameters: `data` is the stored job; `revision` is the store revision that
         wrote it, 0 if not known; `record` is its stored progress, if there is any.
         """
-        entry = self._scheduler.book.entry_by_id.get(job)
+        entry = self._scheduler.job_table.entry_by_id.get(job)
         if entry is None:
-            entry = self._scheduler.book.add(
+            entry = self._scheduler.job_table.add(
                 decode(data, Job),
                 now=self._clock(),
                 wall_now=self._wall_clock(),
@@ -123,7 +123,7 @@
         """
         keys = [running.key for running in report.running]
         keys += [ended.key for ended in report.ended] + report.unsettled
-        entry_by_id = self._scheduler.book.entry_by_id
+        entry_by_id = self._scheduler.job_table.entry_by_id
         for job in {key.task.job for key in keys}:
             if job in entry_by_id or job in self._absent_jobs:
                 continue
@@ -161,7 +161,7 @@
     def _apply_key(self, key: str, value: bytes, revision: int) -> None:
         if not key.endswith(CANCELLED):
             job = JobId(key.removeprefix(JOB_PREFIX))
-            known = self._scheduler.book.entry_by_id.get(job)
+            known = self._scheduler.job_table.entry_by_id.get(job)
             settled = known is not None and known.settled
             if self.add(job, value, revision) is known and settled:
                 return
--- a/wagtailcleat/cluster/leader.py
+++ b/wagtailcleat/cluster/leader.py
@@ -145,7 +145,7 @@
 
     def __repr__(self) -> str:
         """Show the epoch and the scheduler's jobs."""
-        return f"<Leader epoch {self.lease.epoch}: {self.scheduler.book}>"
+        return f"<Leader epoch {self.lease.epoch}: {self.scheduler.job_table}>"
 
     @property
     def _now(self) -> float:
@@ -188,7 +188,7 @@
         log.info(
             "Restored the book",
             extra={
-                "jobs": len(self.scheduler.book.entry_by_id),
+                "jobs": len(self.scheduler.job_table.entry_by_id),
                 "agents": len(agents.found),
                 "seconds": round(self._now - started_at, 3),
             },
@@ -221,12 +221,12 @@
 
     def state(self, message: ShowState) -> StateShown:
         """Return a job's durable state, or an empty one if the job is not known."""
-        entry = self.scheduler.book.entry_by_id.get(message.id)
+        entry = self.scheduler.job_table.entry_by_id.get(message.id)
         return StateShown(entry.durable_state.value if entry else "")
 
     def waiting(self, message: CountWaiting) -> Waiting:
         """Return the number of a queue's jobs that have not begun."""
-        return Waiting(self.scheduler.book.waiting(message.queue))
+        return Waiting(self.scheduler.job_table.waiting(message.queue))
 
     async def cancel(self, message: CancelSteps, timeout: float) -> StateShown:
         """Cancel a job and return its state.
@@ -367,7 +367,7 @@
             question = None
             if self.acting:
                 question = scheduler.advice.question(
-                    scheduler.book,
+                    scheduler.job_table,
                     scheduler.vm_by_node.values(),
                     now=self._now,
                     wall_now=self._wall_clock(),
@@ -384,7 +384,7 @@
                 continue
             until = self._now + granted.valid_seconds
             scheduler.advice.take(question, granted.ticket_by_worker, until=until)
-            scheduler.advice.forget_ended(scheduler.book)
+            scheduler.advice.forget_ended(scheduler.job_table)
             log.info(
                 "Advice received",
                 extra={
--- a/wagtailcleat/cluster/metrics.py
+++ b/wagtailcleat/cluster/metrics.py
@@ -6,7 +6,7 @@
 from hdrh.histogram import HdrHistogram
 
 from wagtailcleat.introspection import Introspection, Kind
-from wagtailcleat.scheduling.book import TaskState
+from wagtailcleat.scheduling.job_table import TaskState
 from wagtailcleat.scheduling.scheduler import Scheduler
 
 MAX_LATENCY_MICROSECONDS = 60_000_000
@@ -85,7 +85,7 @@
     counted: Counter[str] = Counter()
     if scheduler is None:
         return {}
-    for entry in scheduler.book.entry_by_id.values():
+    for entry in scheduler.job_table.entry_by_id.values():
         if not entry.open:
             continue
         for task in entry.tasks():
--- a/wagtailcleat/cluster/records.py
+++ b/wagtailcleat/cluster/records.py
@@ -21,7 +21,7 @@
 from wagtailcleat.cluster.leader_lease import LeaderLease
 from wagtailcleat.ids import JobId, NodeId
 from wagtailcleat.platform.keyvalue import MAX_TXN_ENTRIES, KeyValueStore
-from wagtailcleat.scheduling.book import JobEntry, record_of
+from wagtailcleat.scheduling.job_table import JobEntry, record_of
 from wagtailcleat.scheduling.scheduler import Scheduler
 from wagtailcleat.storage import Compare, Conflict, Txn, WriteOutcome, Written
 
@@ -131,7 +131,7 @@
             await self._delete_expired()
 
     def _changed(self) -> list[JobEntry]:
-        entries = self._scheduler.book.entry_by_id.values()
+        entries = self._scheduler.job_table.entry_by_id.values()
         return [entry for entry in entries if entry.version > entry.committed]
 
     def _next_batch(self, changed: list[JobEntry]) -> list[JobEntry]:
@@ -315,10 +315,10 @@
 
     async def _delete_expired(self) -> None:
         horizon = self._wall_clock() - self._status_kept - EXPIRY_MARGIN_SECONDS
-        book = self._scheduler.book
+        job_table = self._scheduler.job_table
         old = [
             entry
-            for entry in book.entry_by_id.values()
+            for entry in job_table.entry_by_id.values()
             if entry.state.final
             and entry.committed >= entry.version
             and entry.ended_at < horizon
@@ -331,7 +331,7 @@
         )
         if isinstance(await self._store.write(txn), Written):
             for entry in batch:
-                del book.entry_by_id[entry.job.id]
+                del job_table.entry_by_id[entry.job.id]
 
 
 def _batch(changed: list[JobEntry]) -> tuple[list[JobEntry], list[bytes]]:
--- a/wagtailcleat/scheduling/advice.py
+++ b/wagtailcleat/scheduling/advice.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 from wagtailcleat.ids import JobId
-from wagtailcleat.scheduling.book import JobEntry, JobTable, StepKey
+from wagtailcleat.scheduling.job_table import JobEntry, JobTable, StepKey
 from wagtailcleat.scheduling.placement import fits, has_required_label
 from wagtailcleat.scheduling.ranking import rank
 from wagtailcleat.scheduling.vms import Vm
@@ -71,15 +71,15 @@
         return ticket.text
 
     def question(
-        self, book: JobTable, vms: Iterable[Vm], *, now: float, wall_now: float
+        self, job_table: JobTable, vms: Iterable[Vm], *, now: float, wall_now: float
     ) -> Question | None:
         """Return the next question, for the highest-ranked step that needs one."""
         waiting = [
             (rank(entry, step, wall_now), entry, step)
-            for entry in book.open_by_id.values()
+            for entry in job_table.open_by_id.values()
             if entry.job.advised and entry.settled
             for step, count in entry.waiting_by_step.items()
-            if count and book.is_ready(entry, step)
+            if count and job_table.is_ready(entry, step)
         ]
         waiting.sort(key=lambda row: row[0])
         usable = [vm for vm in vms if vm.is_usable]
@@ -140,9 +140,11 @@
         if known is not None and incarnation is not None:
             known.ticket_by_worker.pop(incarnation, None)
 
-    def forget_ended(self, book: JobTable) -> None:
+    def forget_ended(self, job_table: JobTable) -> None:
         """Drop the answers for jobs that have ended."""
-        ended = [key for key in self._advice_by_step if key[0] not in book.open_by_id]
+        ended = [
+            key for key in self._advice_by_step if key[0] not in job_table.open_by_id
+        ]
         for key in ended:
             del self._advice_by_step[key]
 
--- a/wagtailcleat/scheduling/outgoing.py
+++ b/wagtailcleat/scheduling/outgoing.py
@@ -7,7 +7,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from wagtailcleat.scheduling.book import JobEntry
+from wagtailcleat.scheduling.job_table import JobEntry
 from wagtailcleat.scheduling.models import Pace, RunKey, Start
 
 MAX_RECENT_ENDS = 200
--- a/wagtailcleat/scheduling/placement_rounds.py
+++ b/wagtailcleat/scheduling/placement_rounds.py
@@ -10,7 +10,13 @@
 
 from wagtailcleat.ids import Epoch, JobId, NodeId, ServiceName, ZoneName
 from wagtailcleat.scheduling.advice import Advice
-from wagtailcleat.scheduling.book import JobEntry, JobTable, StepKey, Task, TaskState
+from wagtailcleat.scheduling.job_table import (
+    JobEntry,
+    JobTable,
+    StepKey,
+    Task,
+    TaskState,
+)
 from wagtailcleat.scheduling.models import RunKey
 from wagtailcleat.scheduling.placement import (
     Candidates,
@@ -62,14 +68,14 @@
     def __init__(
         self,
         epoch: Epoch,
-        book: JobTable,
+        job_table: JobTable,
         sharing: Sharing,
         advice: Advice,
         start: StartRun,
     ) -> None:
-        """Place tasks of `book`; `start` is called for each run to start."""
+        """Place tasks of `job_table`; `start` is called for each run to start."""
         self._epoch = epoch
-        self._book = book
+        self._job_table = job_table
         self._sharing = sharing
         self._advice = advice
         self._start = start
@@ -161,7 +167,7 @@
     def _candidates(self, search: _Search, service: ServiceName) -> list[Vm]:
         """Return the VMs that may have room although an earlier search found none."""
         failed_round = self._failed_round_by_search.get(search)
-        if failed_round is None or self._book.entry_by_id[search.job].job.advised:
+        if failed_round is None or self._job_table.entry_by_id[search.job].job.advised:
             # Tickets are granted and expire without a change of the VM.
             return self._pool_by_service.get(service, [])
         if failed_round == self._round - 1:
@@ -176,13 +182,13 @@
         """Return the waiting steps that may find room now, the highest-ranked first."""
         ranked = []
         known, self._failed_round_by_search = self._failed_round_by_search, {}
-        for entry in list(self._book.open_by_id.values()):
+        for entry in list(self._job_table.open_by_id.values()):
             if not entry.settled:
                 continue
             if entry.occurrences_begun < entry.job.occurrences:
-                self._book.begin_due(entry, now=now, wall_now=wall_now)
+                self._job_table.begin_due(entry, now=now, wall_now=wall_now)
             for step, count in entry.waiting_by_step.items():
-                if not count or not self._book.is_ready(entry, step):
+                if not count or not self._job_table.is_ready(entry, step):
                     continue
                 # Only searches of waiting steps are kept: while a step runs, room may
                 # become free and be taken again.
--- a/wagtailcleat/scheduling/scheduler.py
+++ b/wagtailcleat/scheduling/scheduler.py
@@ -12,9 +12,9 @@
 
 from wagtailcleat.ids import Epoch, JobId, NodeId, ZoneName
 from wagtailcleat.scheduling.advice import Advice
-from wagtailcleat.scheduling.book import JobEntry, JobTable, Task, TaskState
 from wagtailcleat.scheduling.dispatch import Dispatch
 from wagtailcleat.scheduling.events import Event, LoggedEvent
+from wagtailcleat.scheduling.job_table import JobEntry, JobTable, Task, TaskState
 from wagtailcleat.scheduling.models import (
     Ended,
     Pace,
@@ -65,7 +65,7 @@
         which a stop is repeated; `start_bytes_per_second` limits the rate of starts.
         """
         self.epoch = epoch
-        self.book = JobTable()
+        self.job_table = JobTable()
         self.sharing = Sharing()
         self.vm_by_node: dict[NodeId, Vm] = {}
         self.zones_out: frozenset[ZoneName] = frozenset()
@@ -79,7 +79,7 @@
         self._wall_now = 0.0
         self.advice = Advice()
         self._placement = PlacementRounds(
-            epoch, self.book, self.sharing, self.advice, self._start
+            epoch, self.job_table, self.sharing, self.advice, self._start
         )
         self._dispatch = Dispatch(epoch, start_bytes_per_second)
 
@@ -132,7 +132,7 @@
     def _settle_if_all_heard(self) -> None:
         if self.unheard:
             return
-        for entry in self.book.entry_by_id.values():
+        for entry in self.job_table.entry_by_id.values():
             entry.settled = True
 
     def _process_ends(
@@ -155,7 +155,7 @@
             tracker.received = ended.number
             tracker.recent_runs.append(ended.key)
             self._record_event(Event.ENDED, ended.key, vm, ended.how.value)
-            task = self.book.find_task(ended.key.task)
+            task = self.job_table.find_task(ended.key.task)
             is_other_run = task is not None and task.run != ended.key.run
             if task is not None and ended.key.run in task.failed_runs:
                 # A failure that is already stored says nothing about the VM's present
@@ -165,7 +165,7 @@
                 )
             else:
                 self._count_outcome(vm, ended, now)
-            entry = self.book.record_end(
+            entry = self.job_table.record_end(
                 ended.key,
                 ended.how,
                 ended.checkpoint,
@@ -225,9 +225,11 @@
             hosted.figure = running.figure
             if hosted.stopping and now - hosted.stop_at >= self._stop_retry_seconds:
                 self._stop(vm, hosted, now, "still listed after a stop")
-            task = self.book.find_task(running.key.task)
+            task = self.job_table.find_task(running.key.task)
             if task is not None and task.run == running.key.run:
-                self.book.update_checkpoint(task, running.key.run, running.checkpoint)
+                self.job_table.update_checkpoint(
+                    task, running.key.run, running.checkpoint
+                )
         for key in report.unsettled:
             # An agent may report an end while the start is still in doubt. If the run
             # were adopted again, its task would wait for a run that has ended: the next
@@ -239,15 +241,15 @@
         hosted = vm.hosted_by_run.get(key)
         if hosted is not None:
             return hosted
-        entry = self.book.entry_by_id.get(key.task.job)
+        entry = self.job_table.entry_by_id.get(key.task.job)
         if entry is None or key.task.step >= len(entry.job.steps):
             return None
         # A run of a job that ended under an earlier leader occupies resources until its
         # end is listed, although the job has no tasks in the table any more.
         hosted = HostedRun(key, entry.job.steps[key.task.step], now)
         vm.host_run(hosted)
-        self.book.begin_occurrence_of(key, now=now)
-        task = self.book.find_task(key.task)
+        self.job_table.begin_occurrence_of(key, now=now)
+        task = self.job_table.find_task(key.task)
         if task is None:
             self._stop(vm, hosted, now, "not wanted any more")
             return hosted
@@ -255,7 +257,7 @@
         if stale or not task.entry.open or task.state is TaskState.SUCCEEDED:
             self._stop(vm, hosted, now, "not wanted any more")
         else:
-            self.book.mark_placed(task, key.run, vm.node)
+            self.job_table.mark_placed(task, key.run, vm.node)
             self._record_event(Event.ADOPTED, key, vm, "listed by its worker")
         return hosted
 
@@ -304,9 +306,9 @@
         return logged
 
     def _requeue(self, key: RunKey, now: float) -> None:
-        task = self.book.find_task(key.task)
+        task = self.job_table.find_task(key.task)
         if task is not None and task.run == key.run:
-            self.book.requeue(task, now)
+            self.job_table.requeue(task, now)
 
     def lost_touch(self, node: NodeId) -> None:
         """Record that an agent's connection was closed."""
@@ -360,7 +362,7 @@
 
     def cancel(self, job: JobId, *, now: float, wall_now: float) -> JobEntry | None:
         """Cancel a job and stop its runs; return its entry if it is known."""
-        entry = self.book.cancel(job, wall_now=wall_now)
+        entry = self.job_table.cancel(job, wall_now=wall_now)
         if entry is not None and entry.state.final:
             self._stop_runs(entry.tasks(), now)
         return entry
@@ -399,7 +401,7 @@
         return not self._placement.cut_short
 
     def _start(self, vm: Vm, task: Task, run: int, now: float) -> None:
-        self.book.mark_placed(task, run, vm.node)
+        self.job_table.mark_placed(task, run, vm.node)
         hosted = HostedRun(
             task.run_key,
             task.step,
