--- a/bench/sharing_fleet.py
+++ b/bench/sharing_fleet.py
@@ -243,7 +243,7 @@
         return scheduler
 
     def _hand_over(self, before: Scheduler, scheduler: Scheduler) -> None:
-        scheduler.unheard = set(self._workers)
+        scheduler.unreported_agents = set(self._workers)
         for entry in before.job_table.entry_by_id.values():
             new = scheduler.job_table.add(
                 entry.job, now=self._now, wall_now=self._now, record=record_of(entry)
--- a/features/steps/ended_runs_steps.py
+++ b/features/steps/ended_runs_steps.py
@@ -35,7 +35,7 @@
     stored = stored or _records(world)
     context.epoch = getattr(context, "epoch", 1) + 1
     world.lead(context.epoch)
-    world.scheduler.unheard = set(world.worker_by_node)
+    world.scheduler.unreported_agents = set(world.worker_by_node)
     for worker in world.worker_by_node.values():
         worker.orders_taken = 0
         worker.session += 1
--- a/features/steps/restoring_steps.py
+++ b/features/steps/restoring_steps.py
@@ -83,7 +83,7 @@
 def step_reported(context, seconds):
     scheduler = context.small.leader.scheduler
     context.world.until(
-        lambda: not scheduler.unheard, seconds, "every agent has reported"
+        lambda: not scheduler.unreported_agents, seconds, "every agent has reported"
     )
 
 
@@ -232,9 +232,11 @@
 
 @then("an agent that was not notified reports to it within {seconds:g} s")
 def step_unnotified_reports(context, seconds):
-    unheard = context.third.leader.scheduler.unheard
+    unreported_agents = context.third.leader.scheduler.unreported_agents
     context.world.until(
-        lambda: context.agent.node not in unheard, seconds, "the agent has reported"
+        lambda: context.agent.node not in unreported_agents,
+        seconds,
+        "the agent has reported",
     )
 
 
--- a/features/steps/scheduling_fuzz.py
+++ b/features/steps/scheduling_fuzz.py
@@ -187,7 +187,7 @@
         self.epoch += 1
         entries = list(world.scheduler.job_table.entry_by_id.values())
         world.lead(self.epoch)
-        world.scheduler.unheard = set(self.nodes)
+        world.scheduler.unreported_agents = set(self.nodes)
         for worker in world.worker_by_node.values():
             worker.session += 1
             worker.orders_taken = 0
--- a/features/steps/scheduling_steps.py
+++ b/features/steps/scheduling_steps.py
@@ -365,7 +365,7 @@
         (entry.job, record_of(entry)) for entry in job_table.entry_by_id.values()
     ]
     world.lead(2)
-    world.scheduler.unheard = set(world.worker_by_node)
+    world.scheduler.unreported_agents = set(world.worker_by_node)
     for job, record in records:
         world.scheduler.job_table.add(
             job, now=world.now, wall_now=world.wall_now, record=record
@@ -709,7 +709,7 @@
     entry = world.scheduler.job_table.entry_by_id[context.job]
     record = record_of(entry)
     world.lead(2)
-    world.scheduler.unheard = {worker.node}
+    world.scheduler.unreported_agents = {worker.node}
     world.scheduler.job_table.add(
         entry.job, now=world.now, wall_now=world.wall_now, record=record
     ).settled = False
--- a/wagtailcleat/cluster/jobs.py
+++ b/wagtailcleat/cluster/jobs.py
@@ -107,7 +107,7 @@
                 store_revision=record.mod_revision if record else 0,
             )
             # An earlier leader may have started it at an agent that has not reported.
-            entry.settled = not self._scheduler.unheard
+            entry.settled = not self._scheduler.unreported_agents
         expired_revision = self._lease.predecessors_expired_revision
         if expired_revision is not None and revision > expired_revision:
             entry.settled = True
--- a/wagtailcleat/cluster/leader.py
+++ b/wagtailcleat/cluster/leader.py
@@ -182,7 +182,7 @@
         for found in agents.found:
             node = NodeId(found.key.removeprefix(AGENT_PREFIX))
             self._records.restore_agent(node, found.mod_revision)
-            self.scheduler.unheard.add(node)
+            self.scheduler.unreported_agents.add(node)
         await self._jobs.restore()
         self.ready = True
         log.info(
--- a/wagtailcleat/cluster/records.py
+++ b/wagtailcleat/cluster/records.py
@@ -201,7 +201,9 @@
             for node in registered
             if node in idle or node not in self._scheduler.vm_by_node
         ]
-        departed = [node for node in departed if node not in self._scheduler.unheard]
+        departed = [
+            node for node in departed if node not in self._scheduler.unreported_agents
+        ]
         if not departed:
             return
         batch = departed[:AGENTS_PER_WRITE]
--- a/wagtailcleat/scheduling/scheduler.py
+++ b/wagtailcleat/scheduling/scheduler.py
@@ -72,7 +72,7 @@
         self.count_by_event: Counter[str] = Counter()
         self._logged_events: list[LoggedEvent] = []
         """Events since the last call of `take_notes`."""
-        self.unheard: set[NodeId] = set()
+        self.unreported_agents: set[NodeId] = set()
         """Agents that may run tasks and have not yet reported to this leader."""
         self._lease_horizon = lease_horizon
         self._stop_retry_seconds = stop_again
@@ -93,7 +93,7 @@
         vm = self._update_vm(report, session, now)
         if report.left:
             self._drop_all_runs(vm, now, "its worker has left")
-            self._mark_heard(vm.node)
+            self._mark_reported(vm.node)
         if report.worker is None or not report.listed:
             return
         vm.listed_at = now
@@ -102,7 +102,7 @@
         self._process_refusals(vm, report, now)
         self._process_running(vm, tracker, report, now)
         self._drop_unlisted(vm, report, now)
-        self._mark_heard(vm.node)
+        self._mark_reported(vm.node)
         self._adjust_sharing(vm, now)
 
     def _update_vm(self, report: Report, session: int, now: float) -> Vm:
@@ -123,14 +123,14 @@
         vm.version += 1
         return vm
 
-    def _mark_heard(self, node: NodeId) -> None:
-        if node not in self.unheard:
+    def _mark_reported(self, node: NodeId) -> None:
+        if node not in self.unreported_agents:
             return
-        self.unheard.discard(node)
-        self._settle_if_all_heard()
+        self.unreported_agents.discard(node)
+        self._allow_starts_if_all_reported()
 
-    def _settle_if_all_heard(self) -> None:
-        if self.unheard:
+    def _allow_starts_if_all_reported(self) -> None:
+        if self.unreported_agents:
             return
         for entry in self.job_table.entry_by_id.values():
             entry.settled = True
@@ -332,10 +332,10 @@
             given_up.append(vm.node)
             del self.vm_by_node[vm.node]
             self.sharing.forget_vm(vm.node)
-        if self.unheard and now - predecessors_until >= self._lease_horizon:
-            given_up += self.unheard
-            self.unheard.clear()
-            self._settle_if_all_heard()
+        if self.unreported_agents and now - predecessors_until >= self._lease_horizon:
+            given_up += self.unreported_agents
+            self.unreported_agents.clear()
+            self._allow_starts_if_all_reported()
         return given_up
 
     def _expire_unlisted(self, vm: Vm, now: float) -> None:
