--- a/bench/sharing_fleet.py
+++ b/bench/sharing_fleet.py
@@ -248,7 +248,7 @@
             new = scheduler.job_table.add(
                 entry.job, now=self._now, wall_now=self._now, record=record_of(entry)
             )
-            new.settled = False
+            new.may_start_tasks = False
         for worker in self._workers.values():
             worker.orders_taken = 0
 
--- a/features/steps/ended_runs_steps.py
+++ b/features/steps/ended_runs_steps.py
@@ -43,7 +43,7 @@
         entry = world.scheduler.job_table.add(
             job, now=world.now, wall_now=world.wall_now, record=record
         )
-        entry.settled = False
+        entry.may_start_tasks = False
 
 
 def _only_run(context):
--- a/features/steps/scheduling_fuzz.py
+++ b/features/steps/scheduling_fuzz.py
@@ -195,7 +195,7 @@
             record = self.records.get(entry.job.id)
             world.scheduler.job_table.add(
                 entry.job, now=world.now, wall_now=world.wall_now, record=record
-            ).settled = False
+            ).may_start_tasks = False
 
     def do_commit(self, number: int) -> None:
         """Make all progress durable."""
@@ -237,7 +237,7 @@
         for entry in scheduler.job_table.entry_by_id.values():
             for step, tasks in entry.tasks_by_step.items():
                 waiting = [t for t in tasks if t.state is TaskState.WAITING]
-                if not entry.open or not entry.settled or not waiting:
+                if not entry.open or not entry.may_start_tasks or not waiting:
                     continue
                 if waiting[0].step.gang or waiting[0].step.fills:
                     continue
@@ -252,7 +252,7 @@
         entry = job_table.entry_by_id[key.task.job]
         for earlier in entry.job.steps[key.task.step].after:
             left = entry.unfinished_by_step[key.task.occurrence, earlier]
-            if entry.settled and entry.open:
+            if entry.may_start_tasks and entry.open:
                 assert left == 0, f"{key} runs before step {earlier} is done"
 
 
--- a/features/steps/scheduling_steps.py
+++ b/features/steps/scheduling_steps.py
@@ -369,7 +369,7 @@
     for job, record in records:
         world.scheduler.job_table.add(
             job, now=world.now, wall_now=world.wall_now, record=record
-        ).settled = False
+        ).may_start_tasks = False
     return world
 
 
@@ -712,7 +712,7 @@
     world.scheduler.unreported_agents = {worker.node}
     world.scheduler.job_table.add(
         entry.job, now=world.now, wall_now=world.wall_now, record=record
-    ).settled = False
+    ).may_start_tasks = False
     worker.orders_taken = 0
     world.round()
     world.round()
--- a/wagtailcleat/cluster/jobs.py
+++ b/wagtailcleat/cluster/jobs.py
@@ -107,10 +107,10 @@
                 store_revision=record.mod_revision if record else 0,
             )
             # An earlier leader may have started it at an agent that has not reported.
-            entry.settled = not self._scheduler.unreported_agents
+            entry.may_start_tasks = not self._scheduler.unreported_agents
         expired_revision = self._lease.predecessors_expired_revision
         if expired_revision is not None and revision > expired_revision:
-            entry.settled = True
+            entry.may_start_tasks = True
         return entry
 
     async def load_reported_jobs(self, report: Report) -> bool:
@@ -162,8 +162,8 @@
         if not key.endswith(CANCELLED):
             job = JobId(key.removeprefix(JOB_PREFIX))
             known = self._scheduler.job_table.entry_by_id.get(job)
-            settled = known is not None and known.settled
-            if self.add(job, value, revision) is known and settled:
+            may_start_tasks = known is not None and known.may_start_tasks
+            if self.add(job, value, revision) is known and may_start_tasks:
                 return
         else:
             job = JobId(key.removeprefix(JOB_PREFIX).removesuffix(CANCELLED))
--- a/wagtailcleat/scheduling/advice.py
+++ b/wagtailcleat/scheduling/advice.py
@@ -77,7 +77,7 @@
         waiting = [
             (rank(entry, step, wall_now), entry, step)
             for entry in job_table.open_by_id.values()
-            if entry.job.advised and entry.settled
+            if entry.job.advised and entry.may_start_tasks
             for step, count in entry.waiting_by_step.items()
             if count and job_table.is_ready(entry, step)
         ]
--- a/wagtailcleat/scheduling/job_table.py
+++ b/wagtailcleat/scheduling/job_table.py
@@ -85,7 +85,7 @@
     """When this leader learned of the job, in seconds on its own clock."""
     state: JobState = JobState.QUEUED
     has_begun: bool = False
-    settled: bool = True
+    may_start_tasks: bool = True
     """False while agents that have not reported to this leader may run its tasks."""
     ended_at: float = 0.0
     """Wall clock seconds."""
--- a/wagtailcleat/scheduling/placement_rounds.py
+++ b/wagtailcleat/scheduling/placement_rounds.py
@@ -183,7 +183,7 @@
         ranked = []
         known, self._failed_round_by_search = self._failed_round_by_search, {}
         for entry in list(self._job_table.open_by_id.values()):
-            if not entry.settled:
+            if not entry.may_start_tasks:
                 continue
             if entry.occurrences_begun < entry.job.occurrences:
                 self._job_table.begin_due(entry, now=now, wall_now=wall_now)
--- a/wagtailcleat/scheduling/scheduler.py
+++ b/wagtailcleat/scheduling/scheduler.py
@@ -133,7 +133,7 @@
         if self.unreported_agents:
             return
         for entry in self.job_table.entry_by_id.values():
-            entry.settled = True
+            entry.may_start_tasks = True
 
     def _process_ends(
         self,
