--- a/features/steps/scheduling_fuzz.py
+++ b/features/steps/scheduling_fuzz.py
@@ -160,7 +160,7 @@
         """Replace a connection by a new one; held messages of the old one are lost."""
         worker = self.world.worker_by_node[self.nodes[number % WORKERS]]
         worker.session += 1
-        self.world.scheduler.lost_touch(worker.node)
+        self.world.scheduler.mark_disconnected(worker.node)
 
     def do_silence(self, number: int) -> None:
         """Cut an agent off."""
--- a/features/steps/scheduling_steps.py
+++ b/features/steps/scheduling_steps.py
@@ -89,7 +89,7 @@
 
 @given("the agent is disconnected")
 def step_disconnected(context):
-    context.world.scheduler.lost_touch("vm-1")
+    context.world.scheduler.mark_disconnected("vm-1")
 
 
 @given('job "{name}" of {count:d} task runs')
@@ -412,7 +412,7 @@
 @when("its agent sends no report for {seconds:d} s more")
 def step_no_report(context, seconds):
     world = context.world
-    world.scheduler.lost_touch(context.node)
+    world.scheduler.mark_disconnected(context.node)
     for _ in range(round(seconds / REPORT_SECONDS)):
         world.now += REPORT_SECONDS
         for node, worker in world.worker_by_node.items():
--- a/wagtailcleat/cluster/leader.py
+++ b/wagtailcleat/cluster/leader.py
@@ -301,7 +301,7 @@
             if stream.closed:
                 del self._stream_by_node[node]
                 self._session_by_stream.pop(id(stream), None)
-                self.scheduler.lost_touch(node)
+                self.scheduler.mark_disconnected(node)
                 log.info("Agent out of touch", extra={"agent": node})
                 self._records.dirty.set()
         # Agents expire as of the last renewal. Another leader may have claimed since,
--- a/wagtailcleat/scheduling/scheduler.py
+++ b/wagtailcleat/scheduling/scheduler.py
@@ -310,7 +310,7 @@
         if task is not None and task.run == key.run:
             self.job_table.requeue(task, now)
 
-    def lost_touch(self, node: NodeId) -> None:
+    def mark_disconnected(self, node: NodeId) -> None:
         """Record that an agent's connection was closed."""
         vm = self.vm_by_node.get(node)
         if vm is not None:
