--- a/features/steps/ended_runs_steps.py
+++ b/features/steps/ended_runs_steps.py
@@ -235,7 +235,9 @@
 
 @then("the log says that the failure was known")
 def step_log_known(context):
-    events = [note.event.value for note in context.world.scheduler.take_notes()]
+    events = [
+        logged.event.value for logged in context.world.scheduler.take_logged_events()
+    ]
     assert events.count("Failure was known") == 1, events
 
 
--- a/wagtailcleat/cluster/leader.py
+++ b/wagtailcleat/cluster/leader.py
@@ -334,10 +334,10 @@
             )
 
     def _log_notes(self) -> None:
-        for note in self.scheduler.take_notes():
+        for logged in self.scheduler.take_logged_events():
             log.info(
-                note.event.value,
-                extra={"run": str(note.run), "agent": note.node, "why": note.why},
+                logged.event.value,
+                extra={"run": str(logged.run), "agent": logged.node, "why": logged.why},
             )
 
     def _log_orders(self, node: NodeId, orders: Orders) -> None:
--- a/wagtailcleat/scheduling/scheduler.py
+++ b/wagtailcleat/scheduling/scheduler.py
@@ -71,7 +71,7 @@
         self.zones_out: frozenset[ZoneName] = frozenset()
         self.count_by_event: Counter[str] = Counter()
         self._logged_events: list[LoggedEvent] = []
-        """Events since the last call of `take_notes`."""
+        """Events since the last call of `take_logged_events`."""
         self.unreported_agents: set[NodeId] = set()
         """Agents that may run tasks and have not yet reported to this leader."""
         self._lease_horizon = lease_horizon
@@ -300,7 +300,7 @@
         counted = f"{event.value}: {why}" if event is Event.ENDED else event.value
         self.count_by_event[counted] += 1
 
-    def take_notes(self) -> list[LoggedEvent]:
+    def take_logged_events(self) -> list[LoggedEvent]:
         """Return the events since the last call."""
         logged, self._logged_events = self._logged_events, []
         return logged
