--- a/bench/sharing_fleet.py
+++ b/bench/sharing_fleet.py
@@ -279,7 +279,7 @@
             orders_taken=worker.orders_taken,
             ends_whole=True,
         )
-        self._scheduler.take_report(report, 1, now=self._now, wall_now=self._now)
+        self._scheduler.process_report(report, 1, now=self._now, wall_now=self._now)
         self._scheduler.vm_by_node[worker.node].registered = True
 
     def _running(self, worker: _Worker, run: _Run) -> Running:
--- a/features/steps/checkpoint_delta_steps.py
+++ b/features/steps/checkpoint_delta_steps.py
@@ -157,7 +157,7 @@
 def _handle_report(context):
     _report(context)
     world = context.world
-    world.scheduler.take_report(
+    world.scheduler.process_report(
         context.report, context.worker.session, now=world.now, wall_now=world.wall_now
     )
     _answered(context)
--- a/features/steps/scheduling_steps.py
+++ b/features/steps/scheduling_steps.py
@@ -216,7 +216,7 @@
     context.held = world.decide()
     context.starts_before = len(world.starts)
     for worker, report in early:
-        world.scheduler.take_report(
+        world.scheduler.process_report(
             report, worker.session, now=world.now, wall_now=world.wall_now
         )
 
--- a/features/steps/scheduling_world.py
+++ b/features/steps/scheduling_world.py
@@ -166,7 +166,7 @@
     def report(self, worker: SimulatedWorker) -> None:
         """Deliver a worker's report."""
         self._use_cores(worker)
-        self.scheduler.take_report(
+        self.scheduler.process_report(
             worker.report(), worker.session, now=self.now, wall_now=self.wall_now
         )
         vm = self.scheduler.vm_by_node.get(worker.node)
--- a/wagtailcleat/cluster/leader.py
+++ b/wagtailcleat/cluster/leader.py
@@ -267,7 +267,7 @@
         if self._report_order.is_stale(message):
             return Refused(Code.CONFLICT.value, "a later report was taken in")
         session = self._session(message.node, stream)
-        self.scheduler.take_report(
+        self.scheduler.process_report(
             message, session, now=self._now, wall_now=self._wall_clock()
         )
         vm = self.scheduler.vm_by_node[message.node]
--- a/wagtailcleat/scheduling/scheduler.py
+++ b/wagtailcleat/scheduling/scheduler.py
@@ -83,7 +83,7 @@
         )
         self._dispatch = Dispatch(epoch, start_bytes_per_second)
 
-    def take_report(
+    def process_report(
         self, report: Report, session: int, *, now: float, wall_now: float
     ) -> None:
         """Update the state from an agent's report.
