--- a/features/steps/scheduling_steps.py
+++ b/features/steps/scheduling_steps.py
@@ -79,12 +79,12 @@
 def step_placed_anyway(context, name, count):
     # The start is decided just before the connection is found to be broken.
     vm = context.world.scheduler.vm_by_node["vm-1"]
-    vm.present = True
+    vm.is_connected = True
     _submit(context, name, plain(count))
     context.world.scheduler.place(
         now=context.world.now, wall_now=context.world.wall_now
     )
-    vm.present = False
+    vm.is_connected = False
 
 
 @given("the agent is disconnected")
@@ -436,7 +436,7 @@
 
 @then("the agent may be removed from the store")
 def step_removable(context):
-    idle = [vm.node for vm in context.world.scheduler.idle_absent()]
+    idle = [vm.node for vm in context.world.scheduler.idle_disconnected_vms()]
     assert idle == [context.node], idle
 
 
--- a/wagtailcleat/scheduling/dispatch.py
+++ b/wagtailcleat/scheduling/dispatch.py
@@ -68,7 +68,7 @@
             if vm is None or vm.worker is None:
                 del self._pending_by_node[node]
                 continue
-            if not pending or not vm.present:
+            if not pending or not vm.is_connected:
                 continue
             self._take_orders(node, pending)
             if not pending:
--- a/wagtailcleat/scheduling/scheduler.py
+++ b/wagtailcleat/scheduling/scheduler.py
@@ -116,7 +116,7 @@
         vm.host, vm.port, vm.zone = report.host, report.port, report.zone
         vm.worker = report.worker
         vm.listed = report.listed
-        vm.present = True
+        vm.is_connected = True
         vm.heard_at = now
         vm.silent_seconds = report.silent_seconds
         vm.session = session
@@ -314,7 +314,7 @@
         """Record that an agent's connection was closed."""
         vm = self.vm_by_node.get(node)
         if vm is not None:
-            vm.present = False
+            vm.is_connected = False
 
     def expire(self, *, now: float, predecessors_until: float) -> list[NodeId]:
         """Drop runs whose leases have certainly expired; return the agents dropped.
@@ -352,12 +352,12 @@
             vm.drop_run(key)
             self._requeue(key, now)
 
-    def idle_absent(self) -> list[Vm]:
+    def idle_disconnected_vms(self) -> list[Vm]:
         """Return the VMs without runs that have no worker or no connected agent."""
         return [
             vm
             for vm in self.vm_by_node.values()
-            if not vm.hosted_by_run and (vm.worker is None or not vm.present)
+            if not vm.hosted_by_run and (vm.worker is None or not vm.is_connected)
         ]
 
     def cancel(self, job: JobId, *, now: float, wall_now: float) -> JobEntry | None:
--- a/wagtailcleat/scheduling/vms.py
+++ b/wagtailcleat/scheduling/vms.py
@@ -85,7 +85,7 @@
     """Whether its agent's last report contained the list of the worker's runs."""
     listed_at: float = 0.0
     """When its agent last reported that list."""
-    present: bool = False
+    is_connected: bool = False
     """Whether the agent is connected."""
     registered: bool = False
     """Whether the agent is in the store, so that a next leader will wait for it."""
@@ -175,7 +175,7 @@
     def is_usable(self) -> bool:
         """Whether the VM may be given work, by its agent's last report."""
         return (
-            self.present
+            self.is_connected
             and self.registered
             and self.listed
             and self.worker is not None
