--- a/wagtailcleat/cluster/metrics.py
+++ b/wagtailcleat/cluster/metrics.py
@@ -100,6 +100,6 @@
     vms = scheduler.vm_by_node.values()
     return {
         "held": sum(vm.capacity.cores for vm in vms),
-        "committed": sum(vm.taken.cores for vm in vms),
+        "committed": sum(vm.committed.cores for vm in vms),
         "filling": sum(vm.filling_cores for vm in vms),
     }
--- a/wagtailcleat/scheduling/placement_rounds.py
+++ b/wagtailcleat/scheduling/placement_rounds.py
@@ -304,7 +304,7 @@
         if known is None:
             pool = self._pool_by_service.get(service, [])
             total = sum(vm.capacity.cores for vm in pool)
-            known = sum(vm.taken.cores for vm in pool) / total if total else 1.0
+            known = sum(vm.committed.cores for vm in pool) / total if total else 1.0
             self._committed_by_service[service] = known
         return known
 
--- a/wagtailcleat/scheduling/vms.py
+++ b/wagtailcleat/scheduling/vms.py
@@ -96,7 +96,7 @@
     orders_sent: int = 0
     """Number of the last orders sent to the agent."""
     hosted_by_run: dict[RunKey, HostedRun] = field(default_factory=dict)
-    taken: Resources = NOTHING
+    committed: Resources = NOTHING
     """Committed resources; a filling run commits only memory and accelerators."""
     filling_cores: float = 0.0
     """Cores that the filling runs would use at full pace."""
@@ -121,7 +121,7 @@
 
     def __repr__(self) -> str:
         """Show the VM, its number of runs and its committed resources."""
-        return f"<Vm {self.node}: {len(self.hosted_by_run)} runs, {self.taken}>"
+        return f"<Vm {self.node}: {len(self.hosted_by_run)} runs, {self.committed}>"
 
     @property
     def service(self) -> ServiceName | None:
@@ -141,13 +141,13 @@
     @property
     def free(self) -> Resources:
         """Resources that are not committed."""
-        return self.capacity - self.taken
+        return self.capacity - self.committed
 
     @property
     def spare_cores(self) -> float:
         """Cores expected to be idle, including those that serving runs do not use."""
         unused = self.serving_cores * (1 - EXPECTED_SERVING_USE)
-        return self.capacity.cores - self.taken.cores + unused - self.filling_cores
+        return self.capacity.cores - self.committed.cores + unused - self.filling_cores
 
     @property
     def serving_runs(self) -> int:
@@ -159,11 +159,11 @@
 
         Called for each VM and waiting task, so it compares without creating objects.
         """
-        held, taken = self.capacity, self.taken
+        held, committed = self.capacity, self.committed
         return (
-            room.cores <= held.cores - taken.cores + ROUNDING_CORES
-            and room.memory_mb <= held.memory_mb - taken.memory_mb
-            and room.accelerators <= held.accelerators - taken.accelerators
+            room.cores <= held.cores - committed.cores + ROUNDING_CORES
+            and room.memory_mb <= held.memory_mb - committed.memory_mb
+            and room.accelerators <= held.accelerators - committed.accelerators
         )
 
     def mark_changed(self, now: float) -> None:
@@ -225,7 +225,7 @@
             return
         self.version += 1
         self.hosted_by_run[hosted.key] = hosted
-        self.taken += committed_resources(hosted.step)
+        self.committed += committed_resources(hosted.step)
         if hosted.step.fills:
             self.filling_cores += hosted.step.size.cores
         if hosted.step.target_seconds:
@@ -238,7 +238,7 @@
         if hosted is None:
             return None
         self.version += 1
-        self.taken -= committed_resources(hosted.step)
+        self.committed -= committed_resources(hosted.step)
         if hosted.step.fills:
             self.filling_cores -= hosted.step.size.cores
         if hosted.step.target_seconds:
