--- a/bench/sharing_fleet.py
+++ b/bench/sharing_fleet.py
@@ -237,8 +237,8 @@
         )
         self._prepare(scheduler)
         if before is not None:
-            learnt = before.sharing.interference.learnt()
-            scheduler.sharing.interference.restore(learnt)
+            stored = before.sharing.interference.export()
+            scheduler.sharing.interference.restore(stored)
             self._hand_over(before, scheduler)
         return scheduler
 
--- a/features/steps/leader_steps.py
+++ b/features/steps/leader_steps.py
@@ -234,7 +234,7 @@
 
 
 def _interference(world):
-    return world.leader.scheduler.sharing.interference.learnt()
+    return world.leader.scheduler.sharing.interference.export()
 
 
 @given("a leader that has measured which images interfere")
--- a/wagtailcleat/cluster/interference_store.py
+++ b/wagtailcleat/cluster/interference_store.py
@@ -11,7 +11,7 @@
 from wagtailcleat.cluster.leader_lease import LeaderLease
 from wagtailcleat.logs import part_logger
 from wagtailcleat.platform.keyvalue import KeyValueStore
-from wagtailcleat.scheduling.interference import Interference, Learnt
+from wagtailcleat.scheduling.interference import Interference, StoredEstimates
 from wagtailcleat.storage import Compare, Found, Txn, Unavailable
 
 log = part_logger("leader")
@@ -26,15 +26,15 @@
 ) -> None:
     """Restore the values of earlier leaders, then store changes until cancelled."""
     await _restore(interference, store)
-    stored = interference.learnt()
+    stored = interference.export()
     while True:
-        learnt = interference.learnt()
-        if learnt != stored:
+        estimates = interference.export()
+        if estimates != stored:
             leader_unchanged = Compare(LEADER_KEY, lease.leader_revision)
             await store.write(
-                Txn([leader_unchanged], {INTERFERENCE_KEY: encode(learnt)})
+                Txn([leader_unchanged], {INTERFERENCE_KEY: encode(estimates)})
             )
-            stored = learnt
+            stored = estimates
         await asyncio.sleep(WRITE_INTERVAL_SECONDS)
 
 
@@ -46,11 +46,11 @@
     if not isinstance(found, Found):
         return
     try:
-        learnt = decode(found.value, Learnt)
+        estimates = decode(found.value, StoredEstimates)
     except msgspec.MsgspecError:
         log.warning(
             "Stored interference is unreadable", extra={"bytes": len(found.value)}
         )
         return
-    interference.restore(learnt)
-    log.info("Restored what was learnt", extra={"pairs": len(learnt.added)})
+    interference.restore(estimates)
+    log.info("Restored what was learnt", extra={"pairs": len(estimates.added)})
--- a/wagtailcleat/scheduling/interference.py
+++ b/wagtailcleat/scheduling/interference.py
@@ -157,7 +157,7 @@
     )
 
 
-class Learnt(msgspec.Struct, frozen=True, array_like=True):
+class StoredEstimates(msgspec.Struct, frozen=True, array_like=True):
     """The part of the model that is stored for the next leader.
 
     The utilization of serving jobs is not stored: reports restore it within seconds.
@@ -272,7 +272,7 @@
             if now - own.updated_at > OWN_RETENTION_SECONDS:
                 del self.own_by_job[job]
 
-    def learnt(self) -> Learnt:
+    def export(self) -> StoredEstimates:
         """Return the part of the model to store for the next leader."""
         added = [
             (serving, filling, round(estimate.mean, 3), round(estimate.variance, 3))
@@ -282,16 +282,16 @@
             (image, round(self.idle(image), 4), round(base, 3))
             for image, base in self.base_by_image.items()
         ]
-        return Learnt(added, images)
+        return StoredEstimates(added, images)
 
-    def restore(self, learnt: Learnt) -> None:
+    def restore(self, stored: StoredEstimates) -> None:
         """Adopt an earlier leader's estimates where they are more certain."""
-        for serving, filling, mean, variance in learnt.added:
+        for serving, filling, mean, variance in stored.added:
             variance = max(variance, MIN_RESTORED_VARIANCE)
             known = self.added_by_pair.get((serving, filling), UNKNOWN)
             if variance < known.variance:
                 self.added_by_pair[serving, filling] = Estimate(mean, variance)
-        for image, idle, base in learnt.images:
+        for image, idle, base in stored.images:
             self.idle_by_image[image] = min(self.idle(image), idle)
             self.base_by_image.setdefault(image, base)
 
