--- a/bench/sharing_fleet.py
+++ b/bench/sharing_fleet.py
@@ -283,12 +283,12 @@
         self._scheduler.vm_by_node[worker.node].registered = True
 
     def _running(self, worker: _Worker, run: _Run) -> Running:
-        figure = run.step.size.cores * run.pace if not run.restoring else 0.0
+        measurement = run.step.size.cores * run.pace if not run.restoring else 0.0
         if run.step.target_seconds:
             seen = worker.utilization_by_job.get(run.key.task.job)
             mean = sum(seen) / len(seen) if seen else 0.0
-            figure = round(IDLE_SECONDS / (1 - min(0.98, mean)), 3)
-        return Running(run.key, "", 0, figure)
+            measurement = round(IDLE_SECONDS / (1 - min(0.98, mean)), 3)
+        return Running(run.key, "", 0, measurement)
 
     def _decide(self) -> None:
         scheduler = self._scheduler
--- a/features/steps/platform_adapter_steps.py
+++ b/features/steps/platform_adapter_steps.py
@@ -117,7 +117,7 @@
     row = ["00ff.0.1.17", 2, "", 100, milliseconds]
     body = {"clockMs": 1000, "running": [row], "finished": [], "born": 7}
     listed = _parse_run_list(Reply(200, body))
-    assert listed.running[0].figure == seconds, listed
+    assert listed.running[0].measurement == seconds, listed
     assert listed.running[0].key.task == ("00ff", 0, 1, 17), listed
 
 
--- a/wagtailcleat/platform/runs.py
+++ b/wagtailcleat/platform/runs.py
@@ -222,10 +222,10 @@
 
 def _parse_running(row: list[Any]) -> Running:
     key = RunKey(_parse_task_key(row[0]), int(row[1]))
-    figure = float(row[4]) if len(row) > 4 else 0.0
+    measurement = float(row[4]) if len(row) > 4 else 0.0
     # A serving run reports milliseconds, any other run thousandths of a core. The same
     # factor converts both, to seconds and to cores.
-    return Running(key, str(row[2]), int(row[3]), figure / MILLISECONDS)
+    return Running(key, str(row[2]), int(row[3]), measurement / MILLISECONDS)
 
 
 def _parse_ended(row: list[Any]) -> Ended:
--- a/wagtailcleat/scheduling/models.py
+++ b/wagtailcleat/scheduling/models.py
@@ -190,7 +190,7 @@
     key: RunKey
     checkpoint: str = ""
     percent: int = 0
-    figure: float = 0.0
+    measurement: float = 0.0
     """Rough measurement over the last half second.
 
     The tail latency in seconds of a serving task; the cores in use of any other.
--- a/wagtailcleat/scheduling/scheduler.py
+++ b/wagtailcleat/scheduling/scheduler.py
@@ -222,7 +222,7 @@
                 hosted.percent = running.percent
                 hosted.progressed_at = now
             hosted.listed = True
-            hosted.figure = running.figure
+            hosted.measurement = running.measurement
             if hosted.stopping and now - hosted.stop_at >= self._stop_retry_seconds:
                 self._stop(vm, hosted, now, "still listed after a stop")
             task = self.job_table.find_task(running.key.task)
--- a/wagtailcleat/scheduling/sharing.py
+++ b/wagtailcleat/scheduling/sharing.py
@@ -372,8 +372,8 @@
     if not vm.capacity.cores:
         return share_by_image
     for run in vm.hosted_by_run.values():
-        if run.step.fills and run.listed and run.figure:
-            share = run.figure / vm.capacity.cores
+        if run.step.fills and run.listed and run.measurement:
+            share = run.measurement / vm.capacity.cores
             image = run.step.image
             share_by_image[image] = share_by_image.get(image, 0.0) + share
     return share_by_image
@@ -383,7 +383,7 @@
     """Return each serving job on a VM with the mean load that its tasks report."""
     loads_by_job: dict[ServingJob, list[float]] = {}
     for hosted in _serving(vm):
-        if hosted.figure:
+        if hosted.measurement:
             loads_by_job.setdefault(_serving_job(hosted), []).append(
                 reported_load(hosted)
             )
@@ -396,7 +396,7 @@
 
 def reported_load(hosted: HostedRun) -> float:
     """Return a serving run's reported tail latency as a share of its target."""
-    return hosted.figure / hosted.step.target_seconds
+    return hosted.measurement / hosted.step.target_seconds
 
 
 def affects_sharing(step: Step) -> bool:
--- a/wagtailcleat/scheduling/vms.py
+++ b/wagtailcleat/scheduling/vms.py
@@ -62,7 +62,7 @@
     """Progress of the run when it was last measured."""
     progressed_at: float = 0.0
     """When its progress was last measured."""
-    figure: float = 0.0
+    measurement: float = 0.0
     """The last measurement in a report, see `Running`."""
     pace: int = 100
     """Percentage of its processor time that the run may use."""
