--- a/features/steps/bursts_steps.py
+++ b/features/steps/bursts_steps.py
@@ -51,12 +51,12 @@
         context.world.submit(make_job(f"j-{number}", plain(count, cores=cores)))
 
 
-def _round(context, in_time):
+def _round(context, may_continue):
     world = context.world
     for worker in world.worker_by_node.values():
         world.report(worker)
     context.is_complete = world.scheduler.place(
-        now=world.now, wall_now=world.wall_now, in_time=in_time
+        now=world.now, wall_now=world.wall_now, may_continue=may_continue
     )
     for vm, orders in world.scheduler.orders(now=world.now):
         world.worker_by_node[vm.node].take(orders)
--- a/wagtailcleat/cluster/leader.py
+++ b/wagtailcleat/cluster/leader.py
@@ -320,7 +320,7 @@
         completed = self.scheduler.place(
             now=now,
             wall_now=self._wall_clock(),
-            in_time=lambda: self._now < now + PLACING_LIMIT_SECONDS,
+            may_continue=lambda: self._now < now + PLACING_LIMIT_SECONDS,
         )
         if not completed:
             self._wake.set()
--- a/wagtailcleat/scheduling/placement_rounds.py
+++ b/wagtailcleat/scheduling/placement_rounds.py
@@ -114,12 +114,12 @@
         *,
         now: float,
         wall_now: float,
-        in_time: Callable[[], bool] = lambda: True,
+        may_continue: Callable[[], bool] = lambda: True,
     ) -> int:
         """Start waiting tasks as far as there is room; return the number of starts.
 
-        Parameters: `in_time` is called between two steps and returns whether the round
-        may continue. If not, the other steps are left to the next round, and
+        Parameters: `may_continue` is called between two steps and returns whether the
+        round may continue. If not, the other steps are left to the next round, and
         `cut_short` is set.
         """
         self._round += 1
@@ -128,7 +128,7 @@
         started = 0
         self.cut_short = False
         for entry, step in self._ranked_steps(now, wall_now):
-            if started >= MAX_STARTS_PER_ROUND or (started and not in_time()):
+            if started >= MAX_STARTS_PER_ROUND or (started and not may_continue()):
                 self.cut_short = True
                 break
             started += self._place_step(entry, step, now)
--- a/wagtailcleat/scheduling/scheduler.py
+++ b/wagtailcleat/scheduling/scheduler.py
@@ -386,17 +386,17 @@
         *,
         now: float,
         wall_now: float,
-        in_time: Callable[[], bool] = lambda: True,
+        may_continue: Callable[[], bool] = lambda: True,
     ) -> bool:
         """Run a placement round; return whether all waiting steps were considered.
 
-        Parameters: `in_time` is called between two steps and returns whether the round
-        may continue.
+        Parameters: `may_continue` is called between two steps and returns whether the
+        round may continue.
         """
         self._wall_now = wall_now
         vms = self.vm_by_node.values()
         self._placement.run(
-            vms, self.zones_out, now=now, wall_now=wall_now, in_time=in_time
+            vms, self.zones_out, now=now, wall_now=wall_now, may_continue=may_continue
         )
         return not self._placement.cut_short
 
