--- a/bench/sharing_fleet.py
+++ b/bench/sharing_fleet.py
@@ -233,7 +233,7 @@
         scheduler = Scheduler(
             self._epoch,  # type: ignore[arg-type]
             lease_horizon=HORIZON,
-            stop_again=STOP_AGAIN,
+            stop_retry_seconds=STOP_AGAIN,
         )
         self._prepare(scheduler)
         if before is not None:
--- a/features/steps/scheduling_world.py
+++ b/features/steps/scheduling_world.py
@@ -154,7 +154,7 @@
         self.scheduler = Scheduler(
             epoch,
             lease_horizon=HORIZON,
-            stop_again=STOP_AGAIN,
+            stop_retry_seconds=STOP_AGAIN,
             start_bytes_per_second=self.start_bytes_per_second,
         )
         self.claimed_at = self.now
--- a/wagtailcleat/cluster/leader.py
+++ b/wagtailcleat/cluster/leader.py
@@ -110,7 +110,7 @@
         self.scheduler = Scheduler(
             lease.epoch,
             lease_horizon=AGENT_EXPIRY_SECONDS,
-            stop_again=STOP_REPEAT_SECONDS,
+            stop_retry_seconds=STOP_REPEAT_SECONDS,
             start_bytes_per_second=LINK_SHARE_OF_STARTS * link_bytes_per_second,
         )
         self.ready = False
--- a/wagtailcleat/scheduling/scheduler.py
+++ b/wagtailcleat/scheduling/scheduler.py
@@ -55,14 +55,15 @@
         epoch: Epoch,
         *,
         lease_horizon: float,
-        stop_again: float,
+        stop_retry_seconds: float,
         start_bytes_per_second: float = math.inf,
     ) -> None:
         """Start without VMs and jobs.
 
         Parameters: `lease_horizon` is the number of seconds that runs may continue
-        after their agent's last report; `stop_again` is the number of seconds after
-        which a stop is repeated; `start_bytes_per_second` limits the rate of starts.
+        after their agent's last report; `stop_retry_seconds` is the number of seconds
+        after which a stop is repeated; `start_bytes_per_second` limits the rate of
+        starts.
         """
         self.epoch = epoch
         self.job_table = JobTable()
@@ -75,7 +76,7 @@
         self.unreported_agents: set[NodeId] = set()
         """Agents that may run tasks and have not yet reported to this leader."""
         self._lease_horizon = lease_horizon
-        self._stop_retry_seconds = stop_again
+        self._stop_retry_seconds = stop_retry_seconds
         self._wall_now = 0.0
         self.advice = Advice()
         self._placement = PlacementRounds(
