--- a/wagtailcleat/cluster/hosting.py
+++ b/wagtailcleat/cluster/hosting.py
@@ -25,7 +25,7 @@
 from wagtailcleat.platform.exchange import NoAnswer
 from wagtailcleat.platform.heartbeats import Heartbeat
 from wagtailcleat.platform.runs import (
-    OtherLife,
+    OtherIncarnation,
     RunList,
     RunWorker,
     Stale,
@@ -304,7 +304,7 @@
             log.warning(
                 "Fencing token was stale", extra={"fence": incarnation.worker.fence}
             )
-        elif isinstance(answer, OtherLife):
+        elif isinstance(answer, OtherIncarnation):
             log.warning(
                 "Another incarnation of the worker answers",
                 extra={"worker": incarnation.instance},
@@ -457,7 +457,7 @@
         )
         if isinstance(outcome, Refusal):
             self._refuse(start.key, outcome)
-        elif isinstance(outcome, OtherLife):
+        elif isinstance(outcome, OtherIncarnation):
             self._refuse(start.key, Refusal.NEVER_RAN)
         elif outcome is StartOutcome.STARTED:
             await self._wait_until_listed(incarnation, start.key)
--- a/wagtailcleat/platform/runs.py
+++ b/wagtailcleat/platform/runs.py
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True)
-class OtherLife:
+class OtherIncarnation:
     """Another incarnation of the worker, or another worker, answered at the address."""
 
 
@@ -117,7 +117,7 @@
 
     async def start(
         self, start: Start, *, until: float
-    ) -> StartOutcome | Refusal | OtherLife:
+    ) -> StartOutcome | Refusal | OtherIncarnation:
         """Start a run whose lease ends at `until` in seconds on the worker's clock."""
         body: dict[str, Any] = {
             "task": _format_task_key(start.key.task),
@@ -154,7 +154,7 @@
 
     async def list(
         self, *, acknowledged: int, until: float | None, wait_seconds: float
-    ) -> RunList | Stale | OtherLife | NoAnswer:
+    ) -> RunList | Stale | OtherIncarnation | NoAnswer:
         """Renew all leases, acknowledge ended runs, and list all runs.
 
         Parameters: `acknowledged` is the number of the last ended run processed;
@@ -176,7 +176,7 @@
         if not isinstance(reply, Reply):
             return reply
         if reply.code == WRONG_INCARNATION:
-            return OtherLife()
+            return OtherIncarnation()
         try:
             return _parse_run_list(reply)
         except (BodyError, ValueError, TypeError, KeyError):
@@ -192,11 +192,11 @@
         )
 
 
-def _parse_start_outcome(reply: Reply) -> StartOutcome | Refusal | OtherLife:
+def _parse_start_outcome(reply: Reply) -> StartOutcome | Refusal | OtherIncarnation:
     if reply.code == OK:
         return StartOutcome.STARTED
     if reply.code == WRONG_INCARNATION:
-        return OtherLife()
+        return OtherIncarnation()
     if reply.code == CONFLICT:
         reason = str(reply.body.get("reason", ""))
         return REFUSAL_BY_REASON.get(reason, Refusal.INVALID)
