--- a/wagtailcleat/cluster/hosting.py
+++ b/wagtailcleat/cluster/hosting.py
@@ -28,7 +28,7 @@
     OtherIncarnation,
     RunList,
     RunWorker,
-    Stale,
+    StaleFence,
     StartOutcome,
 )
 from wagtailcleat.scheduling.models import (
@@ -297,7 +297,7 @@
             return False
         if isinstance(answer, RunList):
             return await self._apply_list(incarnation, answer)
-        if isinstance(answer, Stale):
+        if isinstance(answer, StaleFence):
             incarnation.worker.fence = incarnation.born + int(
                 answer.worker_seconds * MILLISECONDS
             )
--- a/wagtailcleat/platform/runs.py
+++ b/wagtailcleat/platform/runs.py
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True)
-class Stale:
+class StaleFence:
     """The worker has seen a newer fencing token than the one of this process.
 
     `worker_seconds` is the worker's clock when it answered.
@@ -154,7 +154,7 @@
 
     async def list(
         self, *, acknowledged: int, until: float | None, wait_seconds: float
-    ) -> RunList | Stale | OtherIncarnation | NoAnswer:
+    ) -> RunList | StaleFence | OtherIncarnation | NoAnswer:
         """Renew all leases, acknowledge ended runs, and list all runs.
 
         Parameters: `acknowledged` is the number of the last ended run processed;
@@ -205,9 +205,9 @@
     return Refusal.UNHEALTHY
 
 
-def _parse_run_list(reply: Reply) -> RunList | Stale | NoAnswer:
+def _parse_run_list(reply: Reply) -> RunList | StaleFence | NoAnswer:
     if reply.code == CONFLICT:
-        return Stale(get_integer(reply.body, "clockMs") / MILLISECONDS)
+        return StaleFence(get_integer(reply.body, "clockMs") / MILLISECONDS)
     if reply.code != OK:
         return NoAnswer.LOST
     ended = [_parse_ended(row) for row in get_list(reply.body, "finished")]
