--- a/features/steps/takeover_world.py
+++ b/features/steps/takeover_world.py
@@ -126,7 +126,7 @@
         self.answered_at = 0.0
         self._clock = clock
 
-    def away(self, now: float) -> bool:
+    def is_unavailable(self, now: float) -> bool:
         """Return whether it has been unreachable for 0.5 s."""
         return self.down_since is not None and now - self.down_since >= 0.5
 
--- a/wagtailcleat/cluster/program.py
+++ b/wagtailcleat/cluster/program.py
@@ -209,7 +209,9 @@
     program.start()
     reload = _Reload(path, settings, kind)
     program.common.supervisor.spawn("settings", reload.run)
-    program.common.supervisor.spawn("store", program.common.store.keep_looking)
+    program.common.supervisor.spawn(
+        "store", program.common.store.probe_while_unavailable
+    )
     dump_on_signal(program.common.introspection)
     log.info(
         "Started",
--- a/wagtailcleat/cluster/submissions.py
+++ b/wagtailcleat/cluster/submissions.py
@@ -120,9 +120,9 @@
             # Once an attempt may have stored the job, a later refusal proves nothing.
             unknown = unknown or outcome is Acceptance.UNKNOWN
             now = self._clock()
-            store_unreachable = self._store.away(now) and not unknown
+            store_unavailable = self._store.is_unavailable(now) and not unknown
             if (
-                store_unreachable
+                store_unavailable
                 or now + RETRY_PAUSE_SECONDS + ANSWER_MARGIN_SECONDS >= deadline
             ):
                 break
@@ -140,7 +140,7 @@
 
     async def _store_or_relay(self, job: JobId, value: bytes) -> Acceptance:
         outcome = Acceptance.NOT_STORED
-        if not self._store.away(self._clock()):
+        if not self._store.is_unavailable(self._clock()):
             outcome = await self.store(job, value)
         if outcome is Acceptance.ACCEPTED or self._leadership.leads:
             return outcome
@@ -156,7 +156,7 @@
 
     async def store(self, job: JobId, value: bytes) -> Acceptance:
         """Store a job by one write of this entry."""
-        if self._store.away(self._clock()):
+        if self._store.is_unavailable(self._clock()):
             return Acceptance.NOT_STORED
         key = job_key(job)
         outcome = await self._store.write(
--- a/wagtailcleat/platform/keyvalue.py
+++ b/wagtailcleat/platform/keyvalue.py
@@ -100,14 +100,14 @@
         self._client.close()
         self._watch_client.close()
 
-    async def keep_looking(self) -> None:
+    async def probe_while_unavailable(self) -> None:
         """Probe the store at intervals while it does not answer; never return."""
         while True:
             await asyncio.sleep(PROBE_INTERVAL_SECONDS)
             if self.down_since is not None:
                 await self.get(PROBE_KEY)
 
-    def away(self, now: float) -> bool:
+    def is_unavailable(self, now: float) -> bool:
         """Return whether this process has an outage of the store, at `now` in seconds.
 
         A failure counts as an outage after `OUTAGE_AFTER_SECONDS`.
