--- a/bench/batch_fakes.py
+++ b/bench/batch_fakes.py
@@ -190,7 +190,7 @@
     up: bool = True
 
     @property
-    def holding_back(self) -> bool:
+    def is_circuit_open(self) -> bool:
         """Whether the store's client holds calls back."""
         return not self.up
 
--- a/wagtailcleat/batch/placer.py
+++ b/wagtailcleat/batch/placer.py
@@ -74,7 +74,7 @@
     def place(self) -> None:
         """Start placing the first pending tasks, within their teams' quotas."""
         shard = self._shard
-        if shard.journal.store.holding_back:
+        if shard.journal.store.is_circuit_open:
             # No assignment can be committed, so reservations would block room in
             # vain.
             return
--- a/wagtailcleat/platform/store.py
+++ b/wagtailcleat/platform/store.py
@@ -90,7 +90,7 @@
         return self._circuit_breaker.down_since is None
 
     @property
-    def holding_back(self) -> bool:
+    def is_circuit_open(self) -> bool:
         """Whether the store has an outage, so that only probes are sent."""
         return self._circuit_breaker.is_open()
 
