--- a/bench/sharing_fleet.py
+++ b/bench/sharing_fleet.py
@@ -277,7 +277,7 @@
             silent_seconds=0.0,
             lease_seconds=HORIZON,
             orders_taken=worker.orders_taken,
-            ends_whole=True,
+            has_all_ends=True,
         )
         self._scheduler.process_report(report, 1, now=self._now, wall_now=self._now)
         self._scheduler.vm_by_node[worker.node].registered = True
--- a/features/steps/late_words_steps.py
+++ b/features/steps/late_words_steps.py
@@ -165,14 +165,14 @@
     for key in list(worker.running):
         worker.end(key, RunEnd.SUCCEEDED)
     context.omitted_ends, worker.ended = worker.ended, []
-    worker.ends_whole = False
+    worker.has_all_ends = False
 
 
 @when("the list includes that end")
 def step_end_included(context):
     worker = context.world.worker_by_node[context.node]
     worker.ended = context.omitted_ends
-    worker.ends_whole = True
+    worker.has_all_ends = True
 
 
 def _end_rows(count):
@@ -186,14 +186,14 @@
     for count, is_whole in ((most, True), (more, False)):
         body = {"clockMs": 1000, "running": [], "finished": _end_rows(count)}
         answer = _parse_run_list(Reply(200, body))
-        assert answer.ends_whole is is_whole, count
+        assert answer.has_all_ends is is_whole, count
 
 
 @when("the worker lists {count:d} ends and its port refuses {refused:d} connections")
 def step_lists_ends(context, count, refused):
     world = context.hosting_world
     world.ends = _end_rows(count)
-    world.until(lambda: not world.hosting.ends_whole)
+    world.until(lambda: not world.hosting.has_all_ends)
     world.refuse(refused)
 
 
@@ -201,7 +201,7 @@
 def step_complete_again(context):
     world = context.hosting_world
     world.until(lambda: not world.hosting.running)
-    assert world.hosting.ends_whole
+    assert world.hosting.has_all_ends
 
 
 @given("its run has succeeded, and that was acknowledged")
--- a/features/steps/scheduling_world.py
+++ b/features/steps/scheduling_world.py
@@ -52,7 +52,7 @@
     checkpoint_by_run: dict = field(default_factory=dict)
     refused: list = field(default_factory=list)
     unsettled: list = field(default_factory=list)
-    ends_whole: bool = True
+    has_all_ends: bool = True
     """Whether its list contains every end."""
 
     def take(self, orders: Orders) -> None:
@@ -121,7 +121,7 @@
             silent_seconds=0.0,
             lease_seconds=HORIZON,
             orders_taken=self.orders_taken,
-            ends_whole=self.ends_whole,
+            has_all_ends=self.has_all_ends,
         )
 
 
--- a/wagtailcleat/cluster/agent_app.py
+++ b/wagtailcleat/cluster/agent_app.py
@@ -104,7 +104,7 @@
             orders_taken,
             epoch,
             number=next(self._report_numbers),
-            ends_whole=hosting.ends_whole,
+            has_all_ends=hosting.has_all_ends,
         )
 
     def _answered(self, report: Report) -> None:
--- a/wagtailcleat/cluster/hosting.py
+++ b/wagtailcleat/cluster/hosting.py
@@ -83,7 +83,7 @@
     listed_at: float = 0.0
     running: list[Running] = field(default_factory=list)
     ended: list[Ended] = field(default_factory=list)
-    ends_whole: bool = True
+    has_all_ends: bool = True
     """Whether the last list contains every unacknowledged end."""
     acknowledged: int = 0
     lease_until: float = 0.0
@@ -160,9 +160,9 @@
         return self._incarnation.ended if self._incarnation else []
 
     @property
-    def ends_whole(self) -> bool:
+    def has_all_ends(self) -> bool:
         """Whether `ended` has every unacknowledged end."""
-        return self._incarnation is None or self._incarnation.ends_whole
+        return self._incarnation is None or self._incarnation.has_all_ends
 
     @property
     def refusals(self) -> int:
@@ -353,7 +353,7 @@
         changed = changed or known_runs != {running.key for running in answer.running}
         incarnation.running = answer.running
         incarnation.ended = answer.ended
-        incarnation.ends_whole = answer.ends_whole
+        incarnation.has_all_ends = answer.has_all_ends
         incarnation.lists_answered += 1
         incarnation.listed_at = now
         incarnation.runs_lost = False
@@ -384,7 +384,7 @@
         incarnation.runs_lost = True
         incarnation.running = []
         # Ends that its last list had no room for will never be listed.
-        incarnation.ends_whole = True
+        incarnation.has_all_ends = True
         log.warning("Runs are lost", extra={"worker": incarnation.instance, "why": why})
         for task in self._work:
             task.cancel()
@@ -514,7 +514,7 @@
 def _is_list_complete(incarnation: _WorkerIncarnation, wanted: int) -> bool:
     # A run may be missing because the list had no room for its end, which does not
     # mean that it never ran.
-    return incarnation.lists_answered >= wanted and incarnation.ends_whole
+    return incarnation.lists_answered >= wanted and incarnation.has_all_ends
 
 
 def _is_listed(incarnation: _WorkerIncarnation, key: RunKey) -> bool:
--- a/wagtailcleat/platform/runs.py
+++ b/wagtailcleat/platform/runs.py
@@ -86,7 +86,7 @@
     ended: list[Ended]
     born: int
     """Birth time of the worker's incarnation; 0 if the answer has none."""
-    ends_whole: bool
+    has_all_ends: bool
     """Whether `ended` is certain to contain every ended run."""
 
 
--- a/wagtailcleat/scheduling/scheduler.py
+++ b/wagtailcleat/scheduling/scheduler.py
@@ -263,7 +263,7 @@
         return hosted
 
     def _drop_unlisted(self, vm: Vm, report: Report, now: float) -> None:
-        if not report.ends_whole:
+        if not report.has_all_ends:
             # A run that is not listed may have ended: the list of ends was full.
             return
         reported = {running.key for running in report.running}
--- a/wagtailcleat/wire/scheduling.py
+++ b/wagtailcleat/wire/scheduling.py
@@ -77,7 +77,7 @@
     """The epoch that the agent follows; it rejects orders of older epochs."""
     number: int = 0
     """Sequence number, which rises with each report of one incarnation of the agent."""
-    ends_whole: bool = True
+    has_all_ends: bool = True
     """Whether `ended` is complete; if not, an ended run may be listed nowhere."""
 
 
