--- a/features/steps/hosting_steps.py
+++ b/features/steps/hosting_steps.py
@@ -56,7 +56,7 @@
             lease_limit=6.0,
             may_start=lambda: True,
             leader_contact_at=lambda: self.now,
-            zone_out=lambda zone: False,
+            is_zone_out=lambda zone: False,
             on_change=lambda: None,
         )
         self.loop.run_until_complete(self._begin())
--- a/wagtailcleat/cluster/agent_app.py
+++ b/wagtailcleat/cluster/agent_app.py
@@ -51,7 +51,7 @@
             lease_limit=settings.run_lease_limit_ms / MILLISECONDS,
             may_start=self.following.may_act,
             leader_contact_at=lambda: self.following.contact_at,
-            zone_out=lambda zone: zone in self.operators.zones_out,
+            is_zone_out=lambda zone: zone in self.operators.zones_out,
             on_change=self.following.report_soon,
         )
         common.dispatch.add_plain({Leads: self.following.leader_announced})
--- a/wagtailcleat/cluster/hosting.py
+++ b/wagtailcleat/cluster/hosting.py
@@ -109,7 +109,7 @@
         lease_limit: float,
         may_start: Callable[[], bool],
         leader_contact_at: Callable[[], float],
-        zone_out: Callable[[ZoneName], bool],
+        is_zone_out: Callable[[ZoneName], bool],
         on_change: Callable[[], None],
     ) -> None:
         """Create it without a worker.
@@ -117,8 +117,8 @@
         Parameters: `own_host` is the address of this VM; `lease_limit` is the longest
         lease that the platform grants, in seconds; `may_start` returns whether the
         leader's orders may be carried out now; `leader_contact_at` returns when the
-        leader was last reached; `zone_out` returns whether operators have taken a zone
-        out; `on_change` is called when there is something to report.
+        leader was last reached; `is_zone_out` returns whether operators have taken a
+        zone out; `on_change` is called when there is something to report.
         """
         self.info: WorkerInfo | None = None
         self.left = False
@@ -130,7 +130,7 @@
         self._lease = min(RUN_LEASE_SECONDS, lease_limit)
         self._may_start = may_start
         self._leader_contact_at = leader_contact_at
-        self._zone_out = zone_out
+        self._is_zone_out = is_zone_out
         self._on_change = on_change
         self._incarnation: _WorkerIncarnation | None = None
         self._last_sequence = -1
@@ -432,7 +432,7 @@
         return (
             info is not None
             and info.state is WorkerState.READY
-            and not self._zone_out(info.zone)
+            and not self._is_zone_out(info.zone)
             and self._may_start()
         )
 
--- a/wagtailcleat/cluster/operator_watch.py
+++ b/wagtailcleat/cluster/operator_watch.py
@@ -16,7 +16,7 @@
     OPERATOR_PREFIX,
     ZONE_OUT_PREFIX,
     decode_configuration,
-    zone_out,
+    zone_taken_out,
 )
 from wagtailcleat.scheduling.queues import QueueTable
 from wagtailcleat.storage import Changes, HistoryGone, Listing
@@ -84,7 +84,7 @@
         listing = await self._store.list(self._prefix)
         if not isinstance(listing, Listing):
             return False
-        zones = {zone_out(found.key) for found in listing.found}
+        zones = {zone_taken_out(found.key) for found in listing.found}
         self._set_zones(frozenset(zone for zone in zones if zone is not None))
         for found in listing.found:
             if found.key == CONFIGURATION_KEY:
@@ -96,7 +96,7 @@
         return True
 
     def _apply(self, key: str, value: bytes | None) -> None:
-        zone = zone_out(key)
+        zone = zone_taken_out(key)
         if zone is not None and value is None:
             self._set_zones(self.zones_out - {zone})
         elif zone is not None:
--- a/wagtailcleat/platform/operators.py
+++ b/wagtailcleat/platform/operators.py
@@ -65,7 +65,7 @@
     )
 
 
-def zone_out(key: str) -> ZoneName | None:
+def zone_taken_out(key: str) -> ZoneName | None:
     """Return the zone that `key` takes out of service; None for any other key."""
     if not key.startswith(ZONE_OUT_PREFIX):
         return None
