--- a/features/steps/late_words_steps.py
+++ b/features/steps/late_words_steps.py
@@ -3,7 +3,7 @@
 from behave import given, then, when
 
 from features.steps.scheduling_world import make_job, plain
-from wagtailcleat.platform.exchange import Reply
+from wagtailcleat.platform.http_client import Reply
 from wagtailcleat.platform.runs import _parse_run_list
 from wagtailcleat.scheduling.models import (
     JobRecord,
--- a/features/steps/platform_adapter_steps.py
+++ b/features/steps/platform_adapter_steps.py
@@ -17,9 +17,9 @@
 from wagtailcleat.ids import JobId, ServiceName
 from wagtailcleat.logs import BoundedOutput
 from wagtailcleat.operator.explain import missing, read_story, tell
-from wagtailcleat.platform.exchange import HttpClient, NoAnswer, Reply
 from wagtailcleat.platform.fields import BodyError
 from wagtailcleat.platform.heartbeats import decode_heartbeat
+from wagtailcleat.platform.http_client import HttpClient, NoAnswer, Reply
 from wagtailcleat.platform.runs import _parse_run_list
 from wagtailcleat.platform.submissions import decode_job
 from wagtailcleat.scheduling.queues import Queue
--- a/wagtailcleat/cluster/hosting.py
+++ b/wagtailcleat/cluster/hosting.py
@@ -22,8 +22,8 @@
 )
 from wagtailcleat.ids import ZoneName
 from wagtailcleat.logs import part_logger
-from wagtailcleat.platform.exchange import NoAnswer
 from wagtailcleat.platform.heartbeats import Heartbeat
+from wagtailcleat.platform.http_client import NoAnswer
 from wagtailcleat.platform.runs import (
     OtherIncarnation,
     RunList,
--- a/wagtailcleat/platform/advice.py
+++ b/wagtailcleat/platform/advice.py
@@ -5,8 +5,8 @@
 
 from dataclasses import dataclass
 
-from wagtailcleat.platform.exchange import HttpClient, Reply
 from wagtailcleat.platform.fields import BodyError, get_list, get_number
+from wagtailcleat.platform.http_client import HttpClient, Reply
 from wagtailcleat.scheduling.advice import Question
 
 OK = 200
--- a/wagtailcleat/platform/keyvalue.py
+++ b/wagtailcleat/platform/keyvalue.py
@@ -14,7 +14,6 @@
 
 from wagtailcleat.clock import Clock
 from wagtailcleat.logs import part_logger
-from wagtailcleat.platform.exchange import HttpClient, NoAnswer, Reply
 from wagtailcleat.platform.fields import (
     BodyError,
     get_boolean,
@@ -22,6 +21,7 @@
     get_list,
     get_text,
 )
+from wagtailcleat.platform.http_client import HttpClient, NoAnswer, Reply
 from wagtailcleat.storage import (
     Absent,
     Changes,
--- a/wagtailcleat/platform/runs.py
+++ b/wagtailcleat/platform/runs.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 from wagtailcleat.ids import JobId
-from wagtailcleat.platform.exchange import HttpClient, NoAnswer, Reply
 from wagtailcleat.platform.fields import BodyError, get_integer, get_list
+from wagtailcleat.platform.http_client import HttpClient, NoAnswer, Reply
 from wagtailcleat.scheduling.models import (
     Ended,
     Refusal,
