--- a/standins/callers.py
+++ b/standins/callers.py
@@ -12,10 +12,10 @@
 from standins.cluster import SECRET, Cluster
 from standins.processes import Process
 from wagtailcleat.ids import Incarnation, NodeId, RequestId, ServiceName
+from wagtailcleat.wire.answer_writer import AnswerWriter
 from wagtailcleat.wire.handshake import Role
 from wagtailcleat.wire.limits import StreamTiming
 from wagtailcleat.wire.messages import AnyMessage
-from wagtailcleat.wire.outlet import Outlet
 from wagtailcleat.wire.parts import Lost
 from wagtailcleat.wire.peers import Identity, Peers
 from wagtailcleat.wire.requests import ServiceRequest, Settle
@@ -185,7 +185,9 @@
         self._peers.close()
 
 
-async def _refuse(stream: Stream, message: AnyMessage, outlet: Outlet) -> AnyMessage:
+async def _refuse(
+    stream: Stream, message: AnyMessage, answer_writer: AnswerWriter
+) -> AnyMessage:
     return Refused("invalid", "this is a caller only")
 
 
--- a/wagtailcleat/agent/attempt_handlers.py
+++ b/wagtailcleat/agent/attempt_handlers.py
@@ -14,9 +14,9 @@
 from wagtailcleat.process import Handlers
 from wagtailcleat.resources import Resources
 from wagtailcleat.settings import Timing
+from wagtailcleat.wire.answer_writer import AnswerWriter
 from wagtailcleat.wire.attempts import Evict, NoRoom, Release, Reserve, Reserved, Start
 from wagtailcleat.wire.messages import AnyMessage
-from wagtailcleat.wire.outlet import Outlet
 from wagtailcleat.wire.results import Done, Refused
 from wagtailcleat.wire.streams import Stream
 from wagtailcleat.wire.takeover import Adopt, Adopted
@@ -80,7 +80,7 @@
         }
 
     async def _on_reserve(
-        self, stream: Stream, message: AnyMessage, outlet: Outlet
+        self, stream: Stream, message: AnyMessage, answer_writer: AnswerWriter
     ) -> AnyMessage:
         assert isinstance(message, Reserve)
         table, commitments = self._table, self._table.commitments
@@ -100,7 +100,7 @@
         return Reserved(seconds, commitments.free(now), self._incarnation, penalty)
 
     async def _on_start(
-        self, stream: Stream, message: AnyMessage, outlet: Outlet
+        self, stream: Stream, message: AnyMessage, answer_writer: AnswerWriter
     ) -> AnyMessage:
         assert isinstance(message, Start)
         table = self._table
@@ -156,7 +156,7 @@
         return Done()
 
     async def _on_release(
-        self, stream: Stream, message: AnyMessage, outlet: Outlet
+        self, stream: Stream, message: AnyMessage, answer_writer: AnswerWriter
     ) -> AnyMessage:
         assert isinstance(message, Release)
         attempt = self._table.attempt_by_id.get(message.attempt)
@@ -165,7 +165,7 @@
         return Done()
 
     async def _on_adopt(
-        self, stream: Stream, message: AnyMessage, outlet: Outlet
+        self, stream: Stream, message: AnyMessage, answer_writer: AnswerWriter
     ) -> AnyMessage:
         assert isinstance(message, Adopt)
         if not self._table.is_complete:
@@ -181,7 +181,7 @@
         return Adopted(self._vm, self._incarnation, reports)
 
     async def _on_evict(
-        self, stream: Stream, message: AnyMessage, outlet: Outlet
+        self, stream: Stream, message: AnyMessage, answer_writer: AnswerWriter
     ) -> AnyMessage:
         assert isinstance(message, Evict)
         attempt = self._table.attempt_by_id.get(message.attempt)
--- a/wagtailcleat/agent/service_requests.py
+++ b/wagtailcleat/agent/service_requests.py
@@ -19,8 +19,8 @@
 from wagtailcleat.logs import part_logger
 from wagtailcleat.process import Handlers
 from wagtailcleat.settings import Timing
+from wagtailcleat.wire.answer_writer import AnswerWriter
 from wagtailcleat.wire.messages import AnyMessage
-from wagtailcleat.wire.outlet import Outlet
 from wagtailcleat.wire.request_ids import is_keyed
 from wagtailcleat.wire.requests import (
     WRONG_INCARNATION,
@@ -72,13 +72,13 @@
         return {ServiceRequest: self._on_request, Settle: self._on_settle}
 
     async def _on_request(
-        self, stream: Stream, message: AnyMessage, outlet: Outlet
+        self, stream: Stream, message: AnyMessage, answer_writer: AnswerWriter
     ) -> AnyMessage:
         assert isinstance(message, ServiceRequest)
         if message.incarnation != self._incarnation:
             return _wrong_incarnation()
         if is_watch(message.method, message.headers):
-            return await self._watches.serve(message, outlet)
+            return await self._watches.serve(message, answer_writer)
         digest = _digest(message)
         entry = self._ledger.find(message.id)
         if entry is not None:
@@ -149,7 +149,7 @@
         return Answer(answer.status, answer.headers, answer.body, instance.load())
 
     async def _on_settle(
-        self, stream: Stream, message: AnyMessage, outlet: Outlet
+        self, stream: Stream, message: AnyMessage, answer_writer: AnswerWriter
     ) -> AnyMessage:
         assert isinstance(message, Settle)
         # The peer settles because one of its older streams failed. Requests still
--- a/wagtailcleat/agent/service_watches.py
+++ b/wagtailcleat/agent/service_watches.py
@@ -11,8 +11,8 @@
 )
 from wagtailcleat.errors import Code
 from wagtailcleat.ids import ServiceName
+from wagtailcleat.wire.answer_writer import AnswerWriter
 from wagtailcleat.wire.messages import AnyMessage
-from wagtailcleat.wire.outlet import Outlet
 from wagtailcleat.wire.requests import Answer, Header, Part, PartsEnd, ServiceRequest
 from wagtailcleat.wire.results import Refused
 
@@ -36,8 +36,10 @@
         """End all event streams; their watchers resume at another agent."""
         self._ending.set()
 
-    async def serve(self, message: ServiceRequest, outlet: Outlet) -> AnyMessage:
-        """Relay the endpoint's events to `outlet`; return the final message."""
+    async def serve(
+        self, message: ServiceRequest, answer_writer: AnswerWriter
+    ) -> AnyMessage:
+        """Relay the endpoint's events to `answer_writer`; return the final message."""
         refusal = self._admission.refusal(message.service)
         if refusal is not None:
             return refusal
@@ -47,7 +49,7 @@
             return Refused(Code.NOT_RUN.value, reason, RETRY_AFTER_SECONDS)
         instance.watchers += 1
         try:
-            return await _Relay(instance, message, outlet, self._ending).run()
+            return await _Relay(instance, message, answer_writer, self._ending).run()
         finally:
             instance.watchers -= 1
 
@@ -62,12 +64,12 @@
         self,
         instance: ServiceInstance,
         message: ServiceRequest,
-        outlet: Outlet,
+        answer_writer: AnswerWriter,
         ending: asyncio.Event,
     ) -> None:
         self._instance = instance
         self._message = message
-        self._outlet = outlet
+        self._answer_writer = answer_writer
         self._ending = ending
         self._items: asyncio.Queue[Answer | Part | EndpointFailed | None] = (
             asyncio.Queue()
@@ -91,9 +93,9 @@
             item = await self._items.get()
             if isinstance(item, Answer):
                 head_sent = True
-                await self._outlet.head(item)
+                await self._answer_writer.send_head(item)
             elif isinstance(item, Part):
-                await self._outlet.part(item)
+                await self._answer_writer.send_part(item)
             elif head_sent:
                 return PartsEnd(whole=item is None)
             else:
--- a/wagtailcleat/cluster/entry_app.py
+++ b/wagtailcleat/cluster/entry_app.py
@@ -25,9 +25,9 @@
 from wagtailcleat.logs import part_logger
 from wagtailcleat.platform.advice import AdviceService
 from wagtailcleat.platform.submissions import caller_server, ready_server
+from wagtailcleat.wire.answer_writer import AnswerWriter
 from wagtailcleat.wire.handshake import Role
 from wagtailcleat.wire.messages import AnyMessage
-from wagtailcleat.wire.outlet import Outlet
 from wagtailcleat.wire.results import Refused
 from wagtailcleat.wire.scheduling import (
     CancelSteps,
@@ -178,12 +178,12 @@
             self.leader = None
 
     async def _report(
-        self, stream: Stream, message: AnyMessage, outlet: Outlet
+        self, stream: Stream, message: AnyMessage, answer_writer: AnswerWriter
     ) -> AnyMessage:
         leader = self.leader
         if leader is None:
             return _not_leading()
-        return await leader.report(stream, message, outlet)
+        return await leader.report(stream, message, answer_writer)
 
     async def _submitted(self, message: AnyMessage) -> AnyMessage:
         assert isinstance(message, Submitted)
--- a/wagtailcleat/cluster/following.py
+++ b/wagtailcleat/cluster/following.py
@@ -22,8 +22,8 @@
 from wagtailcleat.logs import part_logger
 from wagtailcleat.platform.keyvalue import KeyValueStore
 from wagtailcleat.storage import Found
+from wagtailcleat.wire.answer_writer import AnswerWriter
 from wagtailcleat.wire.messages import AnyMessage
-from wagtailcleat.wire.outlet import Outlet
 from wagtailcleat.wire.parts import Lost
 from wagtailcleat.wire.peers import Peers
 from wagtailcleat.wire.results import Done, Refused
@@ -111,7 +111,7 @@
         return Done()
 
     async def orders(
-        self, stream: Stream, message: AnyMessage, outlet: Outlet
+        self, stream: Stream, message: AnyMessage, answer_writer: AnswerWriter
     ) -> AnyMessage:
         """Carry out orders; refuse outdated ones and those of another epoch."""
         assert isinstance(message, Orders)
--- a/wagtailcleat/cluster/leader.py
+++ b/wagtailcleat/cluster/leader.py
@@ -29,8 +29,8 @@
 from wagtailcleat.platform.keyvalue import KeyValueStore
 from wagtailcleat.scheduling.scheduler import Scheduler
 from wagtailcleat.supervise import Supervisor
+from wagtailcleat.wire.answer_writer import AnswerWriter
 from wagtailcleat.wire.messages import AnyMessage
-from wagtailcleat.wire.outlet import Outlet
 from wagtailcleat.wire.parts import Lost
 from wagtailcleat.wire.peers import Peers
 from wagtailcleat.wire.results import Refused
@@ -246,7 +246,7 @@
         return StateShown(entry.state.value if stored else "")
 
     async def report(
-        self, stream: Stream, message: AnyMessage, outlet: Outlet
+        self, stream: Stream, message: AnyMessage, answer_writer: AnswerWriter
     ) -> AnyMessage:
         """Handle an agent's report; the answer says for how long the agent may act."""
         assert isinstance(message, Report)
--- a/wagtailcleat/process.py
+++ b/wagtailcleat/process.py
@@ -21,10 +21,10 @@
 from wagtailcleat.introspection import Introspection
 from wagtailcleat.logs import part_logger
 from wagtailcleat.settings import Timing
+from wagtailcleat.wire.answer_writer import AnswerWriter
 from wagtailcleat.wire.dumps import Dump, DumpState
 from wagtailcleat.wire.limits import StreamTiming
 from wagtailcleat.wire.messages import AnyMessage
-from wagtailcleat.wire.outlet import Outlet
 from wagtailcleat.wire.results import Refused
 from wagtailcleat.wire.streams import Stream
 
@@ -37,7 +37,9 @@
 EXIT_SETTINGS = 78
 MILLISECONDS = 1000
 
-Handlers = dict[type, Callable[[Stream, AnyMessage, Outlet], Awaitable[AnyMessage]]]
+Handlers = dict[
+    type, Callable[[Stream, AnyMessage, AnswerWriter], Awaitable[AnyMessage]]
+]
 PlainHandlers = dict[type, Callable[[AnyMessage], Awaitable[AnyMessage]]]
 
 
@@ -69,7 +71,7 @@
             self._handler_by_type[kind] = _plain(handler)
 
     async def __call__(
-        self, stream: Stream, message: AnyMessage, outlet: Outlet
+        self, stream: Stream, message: AnyMessage, answer_writer: AnswerWriter
     ) -> AnyMessage:
         """Answer one inbound call."""
         if isinstance(message, DumpState):
@@ -78,13 +80,15 @@
         if handler is None:
             kind = type(message).__name__
             return Refused(Code.INVALID.value, f"{kind} is not for this process")
-        return await handler(stream, message, outlet)
+        return await handler(stream, message, answer_writer)
 
 
 def _plain(
     handler: Callable[[AnyMessage], Awaitable[AnyMessage]],
-) -> Callable[[Stream, AnyMessage, Outlet], Awaitable[AnyMessage]]:
-    async def answer(stream: Stream, message: AnyMessage, outlet: Outlet) -> AnyMessage:
+) -> Callable[[Stream, AnyMessage, AnswerWriter], Awaitable[AnyMessage]]:
+    async def answer(
+        stream: Stream, message: AnyMessage, answer_writer: AnswerWriter
+    ) -> AnyMessage:
         return await handler(message)
 
     return answer
--- a/wagtailcleat/wire/outlet.py
+++ b/wagtailcleat/wire/answer_writer.py
@@ -15,7 +15,7 @@
 from wagtailcleat.wire.writer import FrameWriter
 
 
-class Outlet:
+class AnswerWriter:
     """Sends the answer to one call in parts, within the receiver's window."""
 
     def __init__(self, writer: FrameWriter, call_id: int) -> None:
@@ -30,12 +30,12 @@
         self._window += WINDOW_UPDATE_PARTS
         self._window_open.set()
 
-    async def head(self, message: AnyMessage) -> None:
+    async def send_head(self, message: AnyMessage) -> None:
         """Send the answer's first message, which the parts follow."""
         self._writer.write(Frame(FrameKind.REPLY, self._call_id, message))
         await self._writer.drain()
 
-    async def part(self, message: AnyMessage) -> None:
+    async def send_part(self, message: AnyMessage) -> None:
         """Send a part once the window is open."""
         while self._window <= 0:
             self._window_open.clear()
@@ -46,7 +46,7 @@
 
     async def send_answer(self, answer: Answer) -> AnyMessage:
         """Send a large answer but for its end; return the message that ends it."""
-        await self.head(msgspec.structs.replace(answer, body=b"", parts=True))
+        await self.send_head(msgspec.structs.replace(answer, body=b"", parts=True))
         for data in split_into_parts(answer.body):
-            await self.part(Part(data))
+            await self.send_part(Part(data))
         return PartsEnd(whole=True)
--- a/wagtailcleat/wire/inbound.py
+++ b/wagtailcleat/wire/inbound.py
@@ -8,10 +8,10 @@
 
 from wagtailcleat.errors import Code, FrameError
 from wagtailcleat.logs import part_logger
+from wagtailcleat.wire.answer_writer import AnswerWriter
 from wagtailcleat.wire.frames import Frame, FrameKind
 from wagtailcleat.wire.limits import MAX_CALLS_PER_STREAM
 from wagtailcleat.wire.messages import AnyMessage
-from wagtailcleat.wire.outlet import Outlet
 from wagtailcleat.wire.parts import PART_BYTES
 from wagtailcleat.wire.requests import Answer, Part, PartsEnd, ServiceRequest
 from wagtailcleat.wire.results import Refused
@@ -22,7 +22,7 @@
 MAX_INCOMPLETE_BYTES = 64 * 1024 * 1024
 """Limit of the bytes held for the incomplete bodies of one stream."""
 
-CallHandler = Callable[[AnyMessage, Outlet], Awaitable[AnyMessage]]
+CallHandler = Callable[[AnyMessage, AnswerWriter], Awaitable[AnyMessage]]
 
 
 @dataclass
@@ -38,7 +38,7 @@
     """A call whose handler is running."""
 
     task: asyncio.Task[None]
-    outlet: Outlet
+    answer_writer: AnswerWriter
 
 
 class InboundCalls:
@@ -115,7 +115,7 @@
         """Let the answer to a call send further parts."""
         running = self._running_by_id.get(call_id)
         if running is not None:
-            running.outlet.widen_window()
+            running.answer_writer.widen_window()
 
     def cancel(self, call_id: int) -> None:
         """Stop receiving or serving a call."""
@@ -137,18 +137,22 @@
         if len(self._running_by_id) >= MAX_CALLS_PER_STREAM:
             self._refuse(call_id, "too many calls on this stream")
             return
-        outlet = Outlet(self._writer, call_id)
-        task = asyncio.create_task(self._run(call_id, message, handler, outlet))
-        self._running_by_id[call_id] = _RunningCall(task, outlet)
+        answer_writer = AnswerWriter(self._writer, call_id)
+        task = asyncio.create_task(self._run(call_id, message, handler, answer_writer))
+        self._running_by_id[call_id] = _RunningCall(task, answer_writer)
         task.add_done_callback(lambda _: self._running_by_id.pop(call_id, None))
 
     async def _run(
-        self, call_id: int, message: AnyMessage, handler: CallHandler, outlet: Outlet
+        self,
+        call_id: int,
+        message: AnyMessage,
+        handler: CallHandler,
+        answer_writer: AnswerWriter,
     ) -> None:
         try:
-            reply = await handler(message, outlet)
+            reply = await handler(message, answer_writer)
             if isinstance(reply, Answer) and len(reply.body) > PART_BYTES:
-                reply = await outlet.send_answer(reply)
+                reply = await answer_writer.send_answer(reply)
         except Exception:
             log.exception(
                 "The handler of a call failed", extra={"call": type(message).__name__}
--- a/wagtailcleat/wire/streams.py
+++ b/wagtailcleat/wire/streams.py
@@ -12,6 +12,7 @@
 
 from wagtailcleat.errors import FrameError
 from wagtailcleat.logs import part_logger
+from wagtailcleat.wire.answer_writer import AnswerWriter
 from wagtailcleat.wire.frames import Frame, FrameKind, FrameReader
 from wagtailcleat.wire.handshake import Hello
 from wagtailcleat.wire.inbound import InboundCalls
@@ -19,7 +20,6 @@
 from wagtailcleat.wire.limits import StreamTiming
 from wagtailcleat.wire.messages import AnyMessage
 from wagtailcleat.wire.outbound import OutboundCalls
-from wagtailcleat.wire.outlet import Outlet
 from wagtailcleat.wire.parts import Lost, Parts
 from wagtailcleat.wire.writer import FrameWriter
 
@@ -27,8 +27,11 @@
 
 READ_BYTES = 65_536
 
-Handler = Callable[["Stream", AnyMessage, Outlet], Awaitable[AnyMessage]]
-"""Serves one inbound call; returns its answer, or `PartsEnd` after `Outlet.head`."""
+Handler = Callable[["Stream", AnyMessage, AnswerWriter], Awaitable[AnyMessage]]
+"""Serves one inbound call.
+
+Returns its answer, or `PartsEnd` after `AnswerWriter.send_head`.
+"""
 
 
 class Stream:
@@ -182,8 +185,10 @@
         elif frame.kind is FrameKind.BODY:
             self._inbound.receive_part(frame.call_id, frame.message, self._handle)
 
-    def _handle(self, message: AnyMessage, outlet: Outlet) -> Awaitable[AnyMessage]:
-        return self._handler(self, message, outlet)
+    def _handle(
+        self, message: AnyMessage, answer_writer: AnswerWriter
+    ) -> Awaitable[AnyMessage]:
+        return self._handler(self, message, answer_writer)
 
     def _receive_control(self, frame: Frame) -> None:
         if frame.kind is FrameKind.PING:
