--- a/wagtailcleat/entry/relay.py
+++ b/wagtailcleat/entry/relay.py
@@ -30,7 +30,7 @@
 from wagtailcleat.wire.messages import AnyMessage
 from wagtailcleat.wire.parts import Lost, Parts
 from wagtailcleat.wire.peers import Peers
-from wagtailcleat.wire.request_ids import Home, RequestIds
+from wagtailcleat.wire.request_ids import AgentIncarnation, RequestIds
 from wagtailcleat.wire.requests import (
     WRONG_INCARNATION,
     Answer,
@@ -127,7 +127,7 @@
             if member is None or (tried and not self._take_retry(outcome, member)):
                 break
             tried.add(member.node)
-            outcome = await self._send_to(request, member, self._ids.plain())
+            outcome = await self._send_to(request, member, self._ids.next_plain())
             if not self._may_retry(request, outcome):
                 break
         return self._with_jitter(outcome)
@@ -147,7 +147,7 @@
                 break
             tried.add(member.node)
             parts = Parts()
-            message = self._make_message(request, member, self._ids.plain())
+            message = self._make_message(request, member, self._ids.next_plain())
             reply = await self._call(member, message, request.deadline, parts)
             if isinstance(reply, Answer) and reply.parts:
                 return Watch(reply, parts, member)
@@ -171,7 +171,7 @@
         member = self._choose_endpoint(service, set())
         if member is None:
             return None
-        return self._ids.keyed(Home(member.node, member.incarnation))
+        return self._ids.issue_keyed(AgentIncarnation(member.node, member.incarnation))
 
     async def _wait_for_fresh_view(self) -> None:
         # After a pause of this process, the view may still show a zone in use or an
@@ -208,14 +208,14 @@
     async def _send_with_key(
         self, request: CallerRequest, idempotency_key: RequestId
     ) -> RequestOutcome:
-        home = self._ids.home(idempotency_key)
-        if home is None:
+        bound = self._ids.bound_incarnation(idempotency_key)
+        if bound is None:
             reason = "the key is none that POST /services/NAME:request-id gave out"
             return Rejected(Code.INVALID, reason)
-        member = self._view.member_by_node.get(home.node)
-        if member is None or member.incarnation < home.incarnation:
+        member = self._view.member_by_node.get(bound.node)
+        if member is None or member.incarnation < bound.incarnation:
             return _unavailable("the agent that the key names is not known here yet")
-        if member.incarnation > home.incarnation:
+        if member.incarnation > bound.incarnation:
             return OutcomeUnknown("the agent that the key names was started anew")
         return self._with_jitter(await self._send_to(request, member, idempotency_key))
 
--- a/wagtailcleat/wire/request_ids.py
+++ b/wagtailcleat/wire/request_ids.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True)
-class Home:
+class AgentIncarnation:
     """The agent incarnation where a keyed request may run."""
 
     node: NodeId
@@ -39,18 +39,18 @@
         self._plain_count = 0
         self._keyed_count = 0
 
-    def plain(self) -> RequestId:
+    def next_plain(self) -> RequestId:
         """Return the id of a request that is sent once."""
         self._plain_count += 1
         return RequestId(f"{self._prefix}.r{self._plain_count}")
 
-    def keyed(self, home: Home) -> RequestId:
-        """Return an id, bound to `home`, with which a caller may repeat a request."""
+    def issue_keyed(self, bound: AgentIncarnation) -> RequestId:
+        """Return an id for `bound` alone, with which a caller may repeat a request."""
         self._keyed_count += 1
-        signed = f"{home.node}.{home.incarnation}.{self._prefix}.k{self._keyed_count}"
+        signed = f"{bound.node}.{bound.incarnation}.{self._prefix}.k{self._keyed_count}"
         return RequestId(f"{signed}.{self._mac(signed)}")
 
-    def home(self, key: str) -> Home | None:
+    def bound_incarnation(self, key: str) -> AgentIncarnation | None:
         """Return where a keyed id may run; None if this deployment did not issue it."""
         if len(key) > MAX_ID_LENGTH or not key.isascii():
             return None
@@ -60,7 +60,7 @@
             return None
         if not hmac.compare_digest(mac, self._mac(signed)):
             return None
-        return Home(NodeId(fields[0]), Incarnation(int(fields[1])))
+        return AgentIncarnation(NodeId(fields[0]), Incarnation(int(fields[1])))
 
     def _mac(self, signed: str) -> str:
         mac = hmac.digest(self._secret, f"request-id|{signed}".encode(), "sha256")
