--- a/features/steps/lost_exchanges_steps.py
+++ b/features/steps/lost_exchanges_steps.py
@@ -14,7 +14,7 @@
 from wagtailcleat.membership.view import (
     BUCKET_COUNT,
     CHECKSUM_MASK,
-    GONE,
+    GONE_STATES,
     View,
     _bucket,
     _fingerprint,
@@ -71,7 +71,7 @@
         view.merge(_random_update(rng, context.count), now)
         if rng.random() < 0.2:
             view.expire(now, suspicion=3, forget_lost=50)
-        live = [m for m in view.member_by_node.values() if m.state not in GONE]
+        live = [m for m in view.member_by_node.values() if m.state not in GONE_STATES]
         assert view.live() == live
         assert view.bucket_checksums() == _computed_checksums(live)
         for shard in map(ShardId, range(SHARDS)):
--- a/wagtailcleat/agent/shard_owners.py
+++ b/wagtailcleat/agent/shard_owners.py
@@ -4,7 +4,7 @@
 """
 
 from wagtailcleat.ids import Epoch, NodeId, ShardId
-from wagtailcleat.membership.view import GONE, View
+from wagtailcleat.membership.view import GONE_STATES, View
 from wagtailcleat.wire.membership import Member
 
 
@@ -48,5 +48,5 @@
         last_sender = members.get(last) if last is not None else None
         gossiped = self._view.owner(shard)
         found = [m for m in (last_sender, gossiped) if m is not None]
-        alive = [m for m in found if m.state not in GONE]
+        alive = [m for m in found if m.state not in GONE_STATES]
         return alive[:1] if last_sender == gossiped else alive
--- a/wagtailcleat/membership/view.py
+++ b/wagtailcleat/membership/view.py
@@ -26,8 +26,8 @@
 MAX_UPDATES_PER_MESSAGE = 24
 RETRANSMIT_MULTIPLIER = 1
 """An update is sent this many times for each doubling of the member count."""
-GONE = (MemberState.LOST, MemberState.LEFT)
-EXPIRING_STATES = (MemberState.SUSPECT, *GONE)
+GONE_STATES = (MemberState.LOST, MemberState.LEFT)
+EXPIRING_STATES = (MemberState.SUSPECT, *GONE_STATES)
 PRECEDENCE_BY_STATE = {
     MemberState.ALIVE: 0,
     MemberState.LEAVING: 0,
@@ -69,7 +69,7 @@
         """Add a member to every list and mapping that it belongs to."""
         if member.state in EXPIRING_STATES:
             self.expiring.append(member)
-        if member.state in GONE:
+        if member.state in GONE_STATES:
             return
         self.live.append(member)
         if not is_me:
@@ -161,7 +161,7 @@
         known = self.member_by_node.get(member.node)
         if known is not None and not supersedes(member, known):
             return False
-        if known is None and member.state in GONE:
+        if known is None and member.state in GONE_STATES:
             return False
         self._put(member, now)
         return True
@@ -198,7 +198,7 @@
             if member.state is MemberState.SUSPECT and age > suspicion:
                 self._change_state(node, (MemberState.SUSPECT,), MemberState.LOST, now)
                 lost.append(self.member_by_node[node])
-            elif member.state in GONE and age > forget_lost:
+            elif member.state in GONE_STATES and age > forget_lost:
                 del self.member_by_node[node]
                 self.changed_at_by_node.pop(node, None)
                 self._index = None
@@ -249,7 +249,7 @@
         return self._index
 
     def _add_to_checksums(self, member: Member, sign: int) -> None:
-        if member.state not in GONE:
+        if member.state not in GONE_STATES:
             bucket = _bucket(member.node)
             checksum = self._checksum_by_bucket[bucket] + sign * _fingerprint(member)
             self._checksum_by_bucket[bucket] = checksum & CHECKSUM_MASK
@@ -266,7 +266,7 @@
         self._transmissions_left_by_node[member.node] = (
             RETRANSMIT_MULTIPLIER * doublings
         )
-        if member.state in GONE:
+        if member.state in GONE_STATES:
             self.free_by_node.pop(member.node, None)
 
     def _change_state(
