--- a/wagtailcleat/batch/grants.py
+++ b/wagtailcleat/batch/grants.py
@@ -56,7 +56,7 @@
             shard.journal.deposed.set()
         if shard.journal.deposed.is_set():
             return Refused(Code.UNAVAILABLE.value, "no longer the owner")
-        shard.view.note_free(message.node, message.free, shard.clock())
+        shard.view.record_free(message.node, message.free, shard.clock())
         ended = [r for r in message.reports if r.state is not AttemptState.RUNNING]
         await self._commit_ends(ended)
         running = [
--- a/wagtailcleat/batch/placer.py
+++ b/wagtailcleat/batch/placer.py
@@ -238,7 +238,7 @@
             member.host, member.port, request, timeout=CALL_TIMEOUT_SECONDS
         )
         if isinstance(answer, Reserved | NoRoom):
-            shard.view.note_free(member.node, answer.free, shard.clock())
+            shard.view.record_free(member.node, answer.free, shard.clock())
             shard.penalties.add(
                 shard.in_force.configuration,
                 member.vm,
--- a/wagtailcleat/membership/gossip.py
+++ b/wagtailcleat/membership/gossip.py
@@ -303,7 +303,7 @@
         now = self._clock()
         self.last_heard_at = now
         self.view.merge_all(message.members, now)
-        self.view.note_free(message.sender, message.free, now)
+        self.view.record_free(message.sender, message.free, now)
 
     def _start_pull(self, message: Gossip) -> None:
         if self._pull_task is not None and not self._pull_task.done():
--- a/wagtailcleat/membership/view.py
+++ b/wagtailcleat/membership/view.py
@@ -204,7 +204,7 @@
                 self._index = None
         return lost
 
-    def note_free(self, node: NodeId, free: Resources, now: float) -> None:
+    def record_free(self, node: NodeId, free: Resources, now: float) -> None:
         """Record the free resources that a node reported at `now`."""
         self.free_by_node[node] = (free, now)
 
