--- a/wagtailcleat/agent/graceful_shutdown.py
+++ b/wagtailcleat/agent/graceful_shutdown.py
@@ -33,7 +33,7 @@
     announced_at = node.clock()
     try:
         async with asyncio.timeout(ANNOUNCE_TIMEOUT_SECONDS):
-            answers = await asyncio.gather(*calls, node.gossiper.announce())
+            answers = await asyncio.gather(*calls, node.gossiper.push_updates())
     except TimeoutError:
         answers = [None]
     if all(isinstance(answer, Done) for answer in answers[: len(calls)]):
--- a/wagtailcleat/membership/gossip.py
+++ b/wagtailcleat/membership/gossip.py
@@ -130,7 +130,7 @@
         exchanges = [self._exchange(m.host, m.port, peer=m) for m in targets]
         return any(await asyncio.gather(*exchanges))
 
-    async def announce(self) -> None:
+    async def push_updates(self) -> None:
         """Push pending updates to a few random members, ahead of the next round."""
         targets = self.view.pick(PUSH_FANOUT)
         await asyncio.gather(*(self._exchange(m.host, m.port) for m in targets))
@@ -139,7 +139,7 @@
         """Notify the listeners, and push the new revision to a few members."""
         for listener in self._listeners:
             listener()
-        task = asyncio.create_task(self.announce())
+        task = asyncio.create_task(self.push_updates())
         self._push_tasks.add(task)
         task.add_done_callback(self._push_tasks.discard)
 
--- a/wagtailcleat/node.py
+++ b/wagtailcleat/node.py
@@ -73,7 +73,7 @@
     async def change_me(self, **changes: object) -> None:
         """Change this node's own record and push it at once."""
         self.view.change_me(self.clock(), **changes)
-        await self.gossiper.announce()
+        await self.gossiper.push_updates()
 
     async def leave(self) -> None:
         """Say that this node is gone, then close every stream."""
