--- a/bench/batch_fakes.py
+++ b/bench/batch_fakes.py
@@ -194,7 +194,7 @@
     up: bool = True
 
     @property
-    def holding_back(self) -> bool:
+    def is_circuit_open(self) -> bool:
         """Whether the store's client holds calls back, as it does during an outage."""
         return not self.up
 
--- a/features/steps/checkpoint_delta_steps.py
+++ b/features/steps/checkpoint_delta_steps.py
@@ -157,7 +157,7 @@
 def _handle_report(context):
     _report(context)
     world = context.world
-    world.scheduler.take_report(
+    world.scheduler.process_report(
         context.report, context.worker.session, now=world.now, wall_now=world.wall_now
     )
     _answered(context)
@@ -196,7 +196,7 @@
 
 @then("each task continues from its checkpoint")
 def step_continues(context):
-    book = context.world.scheduler.book
+    job_table = context.world.scheduler.job_table
     for key in context.keys:
-        task = book.find_task(key.task)
+        task = job_table.find_task(key.task)
         assert task.checkpoint == context.checkpoints[key.task]
--- a/features/steps/late_words_steps.py
+++ b/features/steps/late_words_steps.py
@@ -3,7 +3,7 @@
 from behave import given, then, when
 
 from features.steps.scheduling_world import make_job, plain
-from wagtailcleat.platform.exchange import Reply
+from wagtailcleat.platform.http_client import Reply
 from wagtailcleat.platform.runs import _parse_run_list
 from wagtailcleat.scheduling.models import (
     JobRecord,
@@ -83,7 +83,7 @@
 
 @then('job "{name}" has ended as failed, and runs no more')
 def step_ended_failed(context, name):
-    entry = context.world.scheduler.book.entry_by_id[name]
+    entry = context.world.scheduler.job_table.entry_by_id[name]
     _rounds(context.world)
     assert entry.state is JobState.FAILED, entry.state
     assert not _members(context.world, name)
@@ -99,7 +99,7 @@
     # Those runs are assumed to fail at once: each only uses up a number.
     world = context.world
     (worker, key), *_ = _members(world, context.job)
-    world.scheduler.book.find_task(key.task).highest_run = count
+    world.scheduler.job_table.find_task(key.task).highest_run = count
     worker.end(key, RunEnd.FAILED)
     _rounds(world)
     (worker, key), *_ = _members(world, context.job)
@@ -139,7 +139,9 @@
     world = context.world
     world.lead(2)
     job, record = context.stored
-    world.scheduler.book.add(job, now=world.now, wall_now=world.wall_now, record=record)
+    world.scheduler.job_table.add(
+        job, now=world.now, wall_now=world.wall_now, record=record
+    )
     _rounds(world)
     world.end_all(RunEnd.FAILED)
     _rounds(world)
@@ -153,7 +155,7 @@
     world.report(worker)
     worker.ended = []
     key = TaskKey(context.job, 0, 0, 0)
-    task = world.scheduler.book.find_task(key)
+    task = world.scheduler.job_table.find_task(key)
     assert RunKey(key, context.second_key.run).run in task.failed_runs
 
 
@@ -163,14 +165,14 @@
     for key in list(worker.running):
         worker.end(key, RunEnd.SUCCEEDED)
     context.omitted_ends, worker.ended = worker.ended, []
-    worker.ends_whole = False
+    worker.has_all_ends = False
 
 
 @when("the list includes that end")
 def step_end_included(context):
     worker = context.world.worker_by_node[context.node]
     worker.ended = context.omitted_ends
-    worker.ends_whole = True
+    worker.has_all_ends = True
 
 
 def _end_rows(count):
@@ -184,14 +186,14 @@
     for count, is_whole in ((most, True), (more, False)):
         body = {"clockMs": 1000, "running": [], "finished": _end_rows(count)}
         answer = _parse_run_list(Reply(200, body))
-        assert answer.ends_whole is is_whole, count
+        assert answer.has_all_ends is is_whole, count
 
 
 @when("the worker lists {count:d} ends and its port refuses {refused:d} connections")
 def step_lists_ends(context, count, refused):
     world = context.hosting_world
     world.ends = _end_rows(count)
-    world.until(lambda: not world.hosting.ends_whole)
+    world.until(lambda: not world.hosting.has_all_ends)
     world.refuse(refused)
 
 
@@ -199,7 +201,7 @@
 def step_complete_again(context):
     world = context.hosting_world
     world.until(lambda: not world.hosting.running)
-    assert world.hosting.ends_whole
+    assert world.hosting.has_all_ends
 
 
 @given("its run has succeeded, and that was acknowledged")
--- a/features/steps/scheduling_steps.py
+++ b/features/steps/scheduling_steps.py
@@ -12,7 +12,7 @@
     plain,
     serving,
 )
-from wagtailcleat.scheduling.book import record_of
+from wagtailcleat.scheduling.job_table import record_of
 from wagtailcleat.scheduling.models import JobState, Refusal, RunEnd
 
 ROUNDS = 5
@@ -79,17 +79,17 @@
 def step_placed_anyway(context, name, count):
     # The start is decided just before the connection is found to be broken.
     vm = context.world.scheduler.vm_by_node["vm-1"]
-    vm.present = True
+    vm.is_connected = True
     _submit(context, name, plain(count))
     context.world.scheduler.place(
         now=context.world.now, wall_now=context.world.wall_now
     )
-    vm.present = False
+    vm.is_connected = False
 
 
 @given("the agent is disconnected")
 def step_disconnected(context):
-    context.world.scheduler.lost_touch("vm-1")
+    context.world.scheduler.mark_disconnected("vm-1")
 
 
 @given('job "{name}" of {count:d} task runs')
@@ -216,7 +216,7 @@
     context.held = world.decide()
     context.starts_before = len(world.starts)
     for worker, report in early:
-        world.scheduler.take_report(
+        world.scheduler.process_report(
             report, worker.session, now=world.now, wall_now=world.wall_now
         )
 
@@ -268,7 +268,7 @@
 @then('it was started {count:d} times and job "{name}" has failed')
 def step_failed(context, count, name):
     assert len(context.world.starts) == count, context.world.starts
-    entry = context.world.scheduler.book.entry_by_id[name]
+    entry = context.world.scheduler.job_table.entry_by_id[name]
     assert entry.durable_state is JobState.FAILED, entry.state
 
 
@@ -297,7 +297,7 @@
 @then("its end is not acknowledged and it is shown as {state}")
 def step_not_acknowledged(context, state):
     worker = context.world.worker_by_node["vm-1"]
-    entry = context.world.scheduler.book.entry_by_id[context.job]
+    entry = context.world.scheduler.job_table.entry_by_id[context.job]
     assert worker.acknowledged == 0
     assert entry.durable_state.value == state, entry.durable_state
 
@@ -311,7 +311,7 @@
 @then("its end is acknowledged and it is shown as {state}")
 def step_acknowledged(context, state):
     worker = context.world.worker_by_node["vm-1"]
-    entry = context.world.scheduler.book.entry_by_id[context.job]
+    entry = context.world.scheduler.job_table.entry_by_id[context.job]
     assert worker.acknowledged == 1
     assert entry.durable_state.value == state, entry.durable_state
 
@@ -360,14 +360,16 @@
 def _restored(context):
     """Replace the leader by one that restores the stored records; return the world."""
     world = context.world
-    book = world.scheduler.book
-    records = [(entry.job, record_of(entry)) for entry in book.entry_by_id.values()]
+    job_table = world.scheduler.job_table
+    records = [
+        (entry.job, record_of(entry)) for entry in job_table.entry_by_id.values()
+    ]
     world.lead(2)
-    world.scheduler.unheard = set(world.worker_by_node)
+    world.scheduler.unreported_agents = set(world.worker_by_node)
     for job, record in records:
-        world.scheduler.book.add(
+        world.scheduler.job_table.add(
             job, now=world.now, wall_now=world.wall_now, record=record
-        ).settled = False
+        ).may_start_tasks = False
     return world
 
 
@@ -410,7 +412,7 @@
 @when("its agent sends no report for {seconds:d} s more")
 def step_no_report(context, seconds):
     world = context.world
-    world.scheduler.lost_touch(context.node)
+    world.scheduler.mark_disconnected(context.node)
     for _ in range(round(seconds / REPORT_SECONDS)):
         world.now += REPORT_SECONDS
         for node, worker in world.worker_by_node.items():
@@ -434,7 +436,7 @@
 
 @then("the agent may be removed from the store")
 def step_removable(context):
-    idle = [vm.node for vm in context.world.scheduler.idle_absent()]
+    idle = [vm.node for vm in context.world.scheduler.idle_disconnected_vms()]
     assert idle == [context.node], idle
 
 
@@ -446,7 +448,7 @@
 
 @then('job "{name}" has succeeded without another start')
 def step_succeeded(context, name):
-    entry = context.world.scheduler.book.entry_by_id[name]
+    entry = context.world.scheduler.job_table.entry_by_id[name]
     assert entry.state is JobState.SUCCEEDED, entry.state
     step_no_second(context)
 
@@ -557,7 +559,7 @@
         world.end_all()
         world.now += 0.7
         world.round()
-    for entry in world.scheduler.book.entry_by_id.values():
+    for entry in world.scheduler.job_table.entry_by_id.values():
         done += entry.ended_at - entry.job.accepted_at <= 3.0 and (
             entry.state is JobState.SUCCEEDED
         )
@@ -605,7 +607,7 @@
 def _question(world):
     scheduler = world.scheduler
     return scheduler.advice.question(
-        scheduler.book,
+        scheduler.job_table,
         scheduler.vm_by_node.values(),
         now=world.now,
         wall_now=world.wall_now,
@@ -704,13 +706,13 @@
     (key,) = worker.running
     worker.end(key, RunEnd.FAILED)
     world.report(worker)
-    entry = world.scheduler.book.entry_by_id[context.job]
+    entry = world.scheduler.job_table.entry_by_id[context.job]
     record = record_of(entry)
     world.lead(2)
-    world.scheduler.unheard = {worker.node}
-    world.scheduler.book.add(
+    world.scheduler.unreported_agents = {worker.node}
+    world.scheduler.job_table.add(
         entry.job, now=world.now, wall_now=world.wall_now, record=record
-    ).settled = False
+    ).may_start_tasks = False
     worker.orders_taken = 0
     world.round()
     world.round()
@@ -718,6 +720,6 @@
 
 @then('job "{name}" has not failed, and runs again')
 def step_not_failed(context, name):
-    entry = context.world.scheduler.book.entry_by_id[name]
+    entry = context.world.scheduler.job_table.entry_by_id[name]
     assert entry.open, entry.state
     assert context.world.running_nodes(name), "it does not run"
--- a/features/steps/scheduling_world.py
+++ b/features/steps/scheduling_world.py
@@ -52,7 +52,7 @@
     checkpoint_by_run: dict = field(default_factory=dict)
     refused: list = field(default_factory=list)
     unsettled: list = field(default_factory=list)
-    ends_whole: bool = True
+    has_all_ends: bool = True
     """Whether its list contains every end."""
 
     def take(self, orders: Orders) -> None:
@@ -121,7 +121,7 @@
             silent_seconds=0.0,
             lease_seconds=HORIZON,
             orders_taken=self.orders_taken,
-            ends_whole=self.ends_whole,
+            has_all_ends=self.has_all_ends,
         )
 
 
@@ -154,19 +154,19 @@
         self.scheduler = Scheduler(
             epoch,
             lease_horizon=HORIZON,
-            stop_again=STOP_AGAIN,
+            stop_retry_seconds=STOP_AGAIN,
             start_bytes_per_second=self.start_bytes_per_second,
         )
         self.claimed_at = self.now
 
     def submit(self, job: Job):
         """Submit a job."""
-        return self.scheduler.book.add(job, now=self.now, wall_now=self.wall_now)
+        return self.scheduler.job_table.add(job, now=self.now, wall_now=self.wall_now)
 
     def report(self, worker: SimulatedWorker) -> None:
         """Deliver a worker's report."""
         self._use_cores(worker)
-        self.scheduler.take_report(
+        self.scheduler.process_report(
             worker.report(), worker.session, now=self.now, wall_now=self.wall_now
         )
         vm = self.scheduler.vm_by_node.get(worker.node)
@@ -176,7 +176,7 @@
     def _use_cores(self, worker: SimulatedWorker) -> None:
         """Let filling runs report the cores that their pace allows them."""
         for key in worker.running:
-            entry = self.scheduler.book.entry_by_id.get(key.task.job)
+            entry = self.scheduler.job_table.entry_by_id.get(key.task.job)
             if entry is not None and entry.job.steps[key.task.step].fills:
                 pace = worker.pace_by_run.get(key, 100) / 100
                 cores = entry.job.steps[key.task.step].size.cores
@@ -204,7 +204,7 @@
 
     def commit(self) -> None:
         """Mark all progress as stored."""
-        for entry in self.scheduler.book.entry_by_id.values():
+        for entry in self.scheduler.job_table.entry_by_id.values():
             self.scheduler.committed(entry, entry.version)
 
     def running_nodes(self, job: str) -> list[str]:
--- a/wagtailcleat/batch/placer.py
+++ b/wagtailcleat/batch/placer.py
@@ -74,7 +74,7 @@
     def place(self) -> None:
         """Start placing the first pending tasks, within their teams' quotas."""
         shard = self._shard
-        if shard.journal.store.holding_back:
+        if shard.journal.store.is_circuit_open:
             # No assignment can be committed, so reservations would block room in
             # vain.
             return
@@ -238,7 +238,7 @@
             member.host, member.port, request, timeout=CALL_TIMEOUT_SECONDS
         )
         if isinstance(answer, Reserved | NoRoom):
-            shard.view.note_free(member.node, answer.free, shard.clock())
+            shard.view.record_free(member.node, answer.free, shard.clock())
             shard.penalties.add(
                 shard.in_force.configuration,
                 member.vm,
--- a/wagtailcleat/cluster/agent_app.py
+++ b/wagtailcleat/cluster/agent_app.py
@@ -51,7 +51,7 @@
             lease_limit=settings.run_lease_limit_ms / MILLISECONDS,
             may_start=self.following.may_act,
             leader_contact_at=lambda: self.following.contact_at,
-            zone_out=lambda zone: zone in self.operators.zones_out,
+            is_zone_out=lambda zone: zone in self.operators.zones_out,
             on_change=self.following.report_soon,
         )
         common.dispatch.add_plain({Leads: self.following.leader_announced})
@@ -104,7 +104,7 @@
             orders_taken,
             epoch,
             number=next(self._report_numbers),
-            ends_whole=hosting.ends_whole,
+            has_all_ends=hosting.has_all_ends,
         )
 
     def _answered(self, report: Report) -> None:
--- a/wagtailcleat/cluster/leader.py
+++ b/wagtailcleat/cluster/leader.py
@@ -29,8 +29,8 @@
 from wagtailcleat.platform.keyvalue import KeyValueStore
 from wagtailcleat.scheduling.scheduler import Scheduler
 from wagtailcleat.supervise import Supervisor
+from wagtailcleat.wire.answer_writer import AnswerWriter
 from wagtailcleat.wire.messages import AnyMessage
-from wagtailcleat.wire.outlet import Outlet
 from wagtailcleat.wire.parts import Lost
 from wagtailcleat.wire.peers import Peers
 from wagtailcleat.wire.results import Refused
@@ -110,7 +110,7 @@
         self.scheduler = Scheduler(
             lease.epoch,
             lease_horizon=AGENT_EXPIRY_SECONDS,
-            stop_again=STOP_REPEAT_SECONDS,
+            stop_retry_seconds=STOP_REPEAT_SECONDS,
             start_bytes_per_second=LINK_SHARE_OF_STARTS * link_bytes_per_second,
         )
         self.ready = False
@@ -145,7 +145,7 @@
 
     def __repr__(self) -> str:
         """Show the epoch and the scheduler's jobs."""
-        return f"<Leader epoch {self.lease.epoch}: {self.scheduler.book}>"
+        return f"<Leader epoch {self.lease.epoch}: {self.scheduler.job_table}>"
 
     @property
     def _now(self) -> float:
@@ -182,13 +182,13 @@
         for found in agents.found:
             node = NodeId(found.key.removeprefix(AGENT_PREFIX))
             self._records.restore_agent(node, found.mod_revision)
-            self.scheduler.unheard.add(node)
+            self.scheduler.unreported_agents.add(node)
         await self._jobs.restore()
         self.ready = True
         log.info(
             "Restored the book",
             extra={
-                "jobs": len(self.scheduler.book.entry_by_id),
+                "jobs": len(self.scheduler.job_table.entry_by_id),
                 "agents": len(agents.found),
                 "seconds": round(self._now - started_at, 3),
             },
@@ -221,12 +221,12 @@
 
     def state(self, message: ShowState) -> StateShown:
         """Return a job's durable state, or an empty one if the job is not known."""
-        entry = self.scheduler.book.entry_by_id.get(message.id)
+        entry = self.scheduler.job_table.entry_by_id.get(message.id)
         return StateShown(entry.durable_state.value if entry else "")
 
     def waiting(self, message: CountWaiting) -> Waiting:
         """Return the number of a queue's jobs that have not begun."""
-        return Waiting(self.scheduler.book.waiting(message.queue))
+        return Waiting(self.scheduler.job_table.waiting(message.queue))
 
     async def cancel(self, message: CancelSteps, timeout: float) -> StateShown:
         """Cancel a job and return its state.
@@ -246,7 +246,7 @@
         return StateShown(entry.state.value if stored else "")
 
     async def report(
-        self, stream: Stream, message: AnyMessage, outlet: Outlet
+        self, stream: Stream, message: AnyMessage, answer_writer: AnswerWriter
     ) -> AnyMessage:
         """Handle an agent's report; the answer says for how long the agent may act."""
         assert isinstance(message, Report)
@@ -267,7 +267,7 @@
         if self._report_order.is_stale(message):
             return Refused(Code.CONFLICT.value, "a later report was taken in")
         session = self._session(message.node, stream)
-        self.scheduler.take_report(
+        self.scheduler.process_report(
             message, session, now=self._now, wall_now=self._wall_clock()
         )
         vm = self.scheduler.vm_by_node[message.node]
@@ -301,7 +301,7 @@
             if stream.closed:
                 del self._stream_by_node[node]
                 self._session_by_stream.pop(id(stream), None)
-                self.scheduler.lost_touch(node)
+                self.scheduler.mark_disconnected(node)
                 log.info("Agent out of touch", extra={"agent": node})
                 self._records.dirty.set()
         # Agents expire as of the last renewal. Another leader may have claimed since,
@@ -320,7 +320,7 @@
         completed = self.scheduler.place(
             now=now,
             wall_now=self._wall_clock(),
-            in_time=lambda: self._now < now + PLACING_LIMIT_SECONDS,
+            may_continue=lambda: self._now < now + PLACING_LIMIT_SECONDS,
         )
         if not completed:
             self._wake.set()
@@ -334,10 +334,10 @@
             )
 
     def _log_notes(self) -> None:
-        for note in self.scheduler.take_notes():
+        for logged in self.scheduler.take_logged_events():
             log.info(
-                note.event.value,
-                extra={"run": str(note.run), "agent": note.node, "why": note.why},
+                logged.event.value,
+                extra={"run": str(logged.run), "agent": logged.node, "why": logged.why},
             )
 
     def _log_orders(self, node: NodeId, orders: Orders) -> None:
@@ -367,7 +367,7 @@
             question = None
             if self.acting:
                 question = scheduler.advice.question(
-                    scheduler.book,
+                    scheduler.job_table,
                     scheduler.vm_by_node.values(),
                     now=self._now,
                     wall_now=self._wall_clock(),
@@ -384,7 +384,7 @@
                 continue
             until = self._now + granted.valid_seconds
             scheduler.advice.take(question, granted.ticket_by_worker, until=until)
-            scheduler.advice.forget_ended(scheduler.book)
+            scheduler.advice.forget_ended(scheduler.job_table)
             log.info(
                 "Advice received",
                 extra={
--- a/wagtailcleat/scheduling/scheduler.py
+++ b/wagtailcleat/scheduling/scheduler.py
@@ -12,9 +12,9 @@
 
 from wagtailcleat.ids import Epoch, JobId, NodeId, ZoneName
 from wagtailcleat.scheduling.advice import Advice
-from wagtailcleat.scheduling.book import JobEntry, JobTable, Task, TaskState
 from wagtailcleat.scheduling.dispatch import Dispatch
 from wagtailcleat.scheduling.events import Event, LoggedEvent
+from wagtailcleat.scheduling.job_table import JobEntry, JobTable, Task, TaskState
 from wagtailcleat.scheduling.models import (
     Ended,
     Pace,
@@ -55,35 +55,36 @@
         epoch: Epoch,
         *,
         lease_horizon: float,
-        stop_again: float,
+        stop_retry_seconds: float,
         start_bytes_per_second: float = math.inf,
     ) -> None:
         """Start without VMs and jobs.
 
         Parameters: `lease_horizon` is the number of seconds that runs may continue
-        after their agent's last report; `stop_again` is the number of seconds after
-        which a stop is repeated; `start_bytes_per_second` limits the rate of starts.
+        after their agent's last report; `stop_retry_seconds` is the number of seconds
+        after which a stop is repeated; `start_bytes_per_second` limits the rate of
+        starts.
         """
         self.epoch = epoch
-        self.book = JobTable()
+        self.job_table = JobTable()
         self.sharing = Sharing()
         self.vm_by_node: dict[NodeId, Vm] = {}
         self.zones_out: frozenset[ZoneName] = frozenset()
         self.count_by_event: Counter[str] = Counter()
         self._logged_events: list[LoggedEvent] = []
-        """Events since the last call of `take_notes`."""
-        self.unheard: set[NodeId] = set()
+        """Events since the last call of `take_logged_events`."""
+        self.unreported_agents: set[NodeId] = set()
         """Agents that may run tasks and have not yet reported to this leader."""
         self._lease_horizon = lease_horizon
-        self._stop_retry_seconds = stop_again
+        self._stop_retry_seconds = stop_retry_seconds
         self._wall_now = 0.0
         self.advice = Advice()
         self._placement = PlacementRounds(
-            epoch, self.book, self.sharing, self.advice, self._start
+            epoch, self.job_table, self.sharing, self.advice, self._start
         )
         self._dispatch = Dispatch(epoch, start_bytes_per_second)
 
-    def take_report(
+    def process_report(
         self, report: Report, session: int, *, now: float, wall_now: float
     ) -> None:
         """Update the state from an agent's report.
@@ -93,7 +94,7 @@
         vm = self._update_vm(report, session, now)
         if report.left:
             self._drop_all_runs(vm, now, "its worker has left")
-            self._mark_heard(vm.node)
+            self._mark_reported(vm.node)
         if report.worker is None or not report.listed:
             return
         vm.listed_at = now
@@ -102,7 +103,7 @@
         self._process_refusals(vm, report, now)
         self._process_running(vm, tracker, report, now)
         self._drop_unlisted(vm, report, now)
-        self._mark_heard(vm.node)
+        self._mark_reported(vm.node)
         self._adjust_sharing(vm, now)
 
     def _update_vm(self, report: Report, session: int, now: float) -> Vm:
@@ -116,24 +117,24 @@
         vm.host, vm.port, vm.zone = report.host, report.port, report.zone
         vm.worker = report.worker
         vm.listed = report.listed
-        vm.present = True
+        vm.is_connected = True
         vm.heard_at = now
         vm.silent_seconds = report.silent_seconds
         vm.session = session
         vm.version += 1
         return vm
 
-    def _mark_heard(self, node: NodeId) -> None:
-        if node not in self.unheard:
+    def _mark_reported(self, node: NodeId) -> None:
+        if node not in self.unreported_agents:
             return
-        self.unheard.discard(node)
-        self._settle_if_all_heard()
+        self.unreported_agents.discard(node)
+        self._allow_starts_if_all_reported()
 
-    def _settle_if_all_heard(self) -> None:
-        if self.unheard:
+    def _allow_starts_if_all_reported(self) -> None:
+        if self.unreported_agents:
             return
-        for entry in self.book.entry_by_id.values():
-            entry.settled = True
+        for entry in self.job_table.entry_by_id.values():
+            entry.may_start_tasks = True
 
     def _process_ends(
         self,
@@ -155,7 +156,7 @@
             tracker.received = ended.number
             tracker.recent_runs.append(ended.key)
             self._record_event(Event.ENDED, ended.key, vm, ended.how.value)
-            task = self.book.find_task(ended.key.task)
+            task = self.job_table.find_task(ended.key.task)
             is_other_run = task is not None and task.run != ended.key.run
             if task is not None and ended.key.run in task.failed_runs:
                 # A failure that is already stored says nothing about the VM's present
@@ -165,7 +166,7 @@
                 )
             else:
                 self._count_outcome(vm, ended, now)
-            entry = self.book.record_end(
+            entry = self.job_table.record_end(
                 ended.key,
                 ended.how,
                 ended.checkpoint,
@@ -222,12 +223,14 @@
                 hosted.percent = running.percent
                 hosted.progressed_at = now
             hosted.listed = True
-            hosted.figure = running.figure
+            hosted.measurement = running.measurement
             if hosted.stopping and now - hosted.stop_at >= self._stop_retry_seconds:
                 self._stop(vm, hosted, now, "still listed after a stop")
-            task = self.book.find_task(running.key.task)
+            task = self.job_table.find_task(running.key.task)
             if task is not None and task.run == running.key.run:
-                self.book.update_checkpoint(task, running.key.run, running.checkpoint)
+                self.job_table.update_checkpoint(
+                    task, running.key.run, running.checkpoint
+                )
         for key in report.unsettled:
             # An agent may report an end while the start is still in doubt. If the run
             # were adopted again, its task would wait for a run that has ended: the next
@@ -239,15 +242,15 @@
         hosted = vm.hosted_by_run.get(key)
         if hosted is not None:
             return hosted
-        entry = self.book.entry_by_id.get(key.task.job)
+        entry = self.job_table.entry_by_id.get(key.task.job)
         if entry is None or key.task.step >= len(entry.job.steps):
             return None
         # A run of a job that ended under an earlier leader occupies resources until its
         # end is listed, although the job has no tasks in the table any more.
         hosted = HostedRun(key, entry.job.steps[key.task.step], now)
         vm.host_run(hosted)
-        self.book.begin_occurrence_of(key, now=now)
-        task = self.book.find_task(key.task)
+        self.job_table.begin_occurrence_of(key, now=now)
+        task = self.job_table.find_task(key.task)
         if task is None:
             self._stop(vm, hosted, now, "not wanted any more")
             return hosted
@@ -255,12 +258,12 @@
         if stale or not task.entry.open or task.state is TaskState.SUCCEEDED:
             self._stop(vm, hosted, now, "not wanted any more")
         else:
-            self.book.mark_placed(task, key.run, vm.node)
+            self.job_table.mark_placed(task, key.run, vm.node)
             self._record_event(Event.ADOPTED, key, vm, "listed by its worker")
         return hosted
 
     def _drop_unlisted(self, vm: Vm, report: Report, now: float) -> None:
-        if not report.ends_whole:
+        if not report.has_all_ends:
             # A run that is not listed may have ended: the list of ends was full.
             return
         reported = {running.key for running in report.running}
@@ -298,21 +301,21 @@
         counted = f"{event.value}: {why}" if event is Event.ENDED else event.value
         self.count_by_event[counted] += 1
 
-    def take_notes(self) -> list[LoggedEvent]:
+    def take_logged_events(self) -> list[LoggedEvent]:
         """Return the events since the last call."""
         logged, self._logged_events = self._logged_events, []
         return logged
 
     def _requeue(self, key: RunKey, now: float) -> None:
-        task = self.book.find_task(key.task)
+        task = self.job_table.find_task(key.task)
         if task is not None and task.run == key.run:
-            self.book.requeue(task, now)
+            self.job_table.requeue(task, now)
 
-    def lost_touch(self, node: NodeId) -> None:
+    def mark_disconnected(self, node: NodeId) -> None:
         """Record that an agent's connection was closed."""
         vm = self.vm_by_node.get(node)
         if vm is not None:
-            vm.present = False
+            vm.is_connected = False
 
     def expire(self, *, now: float, predecessors_until: float) -> list[NodeId]:
         """Drop runs whose leases have certainly expired; return the agents dropped.
@@ -330,10 +333,10 @@
             given_up.append(vm.node)
             del self.vm_by_node[vm.node]
             self.sharing.forget_vm(vm.node)
-        if self.unheard and now - predecessors_until >= self._lease_horizon:
-            given_up += self.unheard
-            self.unheard.clear()
-            self._settle_if_all_heard()
+        if self.unreported_agents and now - predecessors_until >= self._lease_horizon:
+            given_up += self.unreported_agents
+            self.unreported_agents.clear()
+            self._allow_starts_if_all_reported()
         return given_up
 
     def _expire_unlisted(self, vm: Vm, now: float) -> None:
@@ -350,17 +353,17 @@
             vm.drop_run(key)
             self._requeue(key, now)
 
-    def idle_absent(self) -> list[Vm]:
+    def idle_disconnected_vms(self) -> list[Vm]:
         """Return the VMs without runs that have no worker or no connected agent."""
         return [
             vm
             for vm in self.vm_by_node.values()
-            if not vm.hosted_by_run and (vm.worker is None or not vm.present)
+            if not vm.hosted_by_run and (vm.worker is None or not vm.is_connected)
         ]
 
     def cancel(self, job: JobId, *, now: float, wall_now: float) -> JobEntry | None:
         """Cancel a job and stop its runs; return its entry if it is known."""
-        entry = self.book.cancel(job, wall_now=wall_now)
+        entry = self.job_table.cancel(job, wall_now=wall_now)
         if entry is not None and entry.state.final:
             self._stop_runs(entry.tasks(), now)
         return entry
@@ -384,22 +387,22 @@
         *,
         now: float,
         wall_now: float,
-        in_time: Callable[[], bool] = lambda: True,
+        may_continue: Callable[[], bool] = lambda: True,
     ) -> bool:
         """Run a placement round; return whether all waiting steps were considered.
 
-        Parameters: `in_time` is called between two steps and returns whether the round
-        may continue.
+        Parameters: `may_continue` is called between two steps and returns whether the
+        round may continue.
         """
         self._wall_now = wall_now
         vms = self.vm_by_node.values()
         self._placement.run(
-            vms, self.zones_out, now=now, wall_now=wall_now, in_time=in_time
+            vms, self.zones_out, now=now, wall_now=wall_now, may_continue=may_continue
         )
         return not self._placement.cut_short
 
     def _start(self, vm: Vm, task: Task, run: int, now: float) -> None:
-        self.book.mark_placed(task, run, vm.node)
+        self.job_table.mark_placed(task, run, vm.node)
         hosted = HostedRun(
             task.run_key,
             task.step,
