--- a/bench/deployment.py
+++ b/bench/deployment.py
@@ -49,7 +49,7 @@
 class RecordNeverFull(EndpointRecord):
     """A record that forgets refusals, for the baseline that always retries."""
 
-    def refusing(self, now: float) -> bool:
+    def is_refusing(self, now: float) -> bool:
         """Tell that no refusal stands."""
         return False
 
--- a/features/steps/bench_steps.py
+++ b/features/steps/bench_steps.py
@@ -83,7 +83,7 @@
 @when("nothing is heard from it for {seconds:g} s")
 def step_nothing_heard(context, seconds):
     context.now = 10.0 + seconds
-    context.other.told(Load(6, 0, 8), context.now)
+    context.other.record_load(Load(6, 0, 8), context.now)
 
 
 @then("it costs more than an endpoint with 6 requests that answered just now")
@@ -96,7 +96,7 @@
     record = EndpointRecord(latency=latency, updated_at=10.0)
     for _ in range(in_flight):
         record.sent(10.0)
-    record.told(Load(in_flight, 0, 8), 10.0)
+    record.record_load(Load(in_flight, 0, 8), 10.0)
     return record
 
 
--- a/wagtailcleat/entry/app.py
+++ b/wagtailcleat/entry/app.py
@@ -178,7 +178,7 @@
             node: {
                 "latency_ms": round(record.latency * 1000, 3),
                 "in_flight": record.in_flight,
-                "ejected": record.ejected(now),
+                "ejected": record.is_ejected(now),
             }
             for node, record in records.items()
         }
--- a/wagtailcleat/entry/relay.py
+++ b/wagtailcleat/entry/relay.py
@@ -231,7 +231,7 @@
             if isinstance(reply, Lost) and reply.sent:
                 reply = await self._resolve_in_doubt(request, member, message)
         finally:
-            record.done(self._clock())
+            record.ended(self._clock())
         self._record_reply(record, reply, started)
         outcome = _to_outcome(reply)
         if request.idempotency_key is not None and not _holds_for_earlier_uses(reply):
@@ -245,7 +245,7 @@
     ) -> None:
         now = self._clock()
         if isinstance(reply, Answer):
-            record.told(reply.load, now)
+            record.record_load(reply.load, now)
             if reply.status < MIN_FAILURE_STATUS:
                 record.succeeded(now - started, now)
             else:
@@ -332,7 +332,7 @@
         # A request that was not run has put no load on an endpoint, so a retry does not
         # use the retry budget; but an endpoint that is refusing is not worth trying.
         if isinstance(outcome, NotRun):
-            if self.endpoints.record(member.node).refusing(self._clock()):
+            if self.endpoints.record(member.node).is_refusing(self._clock()):
                 return False
             self.retries += 1
             return True
--- a/wagtailcleat/routing/choose.py
+++ b/wagtailcleat/routing/choose.py
@@ -57,8 +57,10 @@
     ]
     eligible = [m for m in usable if m.state is MemberState.ALIVE] or usable
     if tried:
-        eligible = [m for m in eligible if not endpoints.record(m.node).refusing(now)]
-    kept = [m for m in eligible if not endpoints.record(m.node).ejected(now)]
+        eligible = [
+            m for m in eligible if not endpoints.record(m.node).is_refusing(now)
+        ]
+    kept = [m for m in eligible if not endpoints.record(m.node).is_ejected(now)]
     return kept if len(kept) >= len(eligible) * (1 - MAX_EJECTED_SHARE) else eligible
 
 
--- a/wagtailcleat/routing/latency.py
+++ b/wagtailcleat/routing/latency.py
@@ -54,11 +54,11 @@
             self.last_heard_at = now
         self.in_flight += 1
 
-    def done(self, now: float) -> None:
+    def ended(self, now: float) -> None:
         """Record that a request to the endpoint has ended, whatever its outcome."""
         self.in_flight -= 1
 
-    def told(self, load: Load, now: float) -> None:
+    def record_load(self, load: Load, now: float) -> None:
         """Record the load that the endpoint reported with an answer.
 
         The reported load includes this entry's own requests. They are subtracted,
@@ -98,7 +98,7 @@
         self.refuses_until = now + self.refusal_seconds
         self.last_heard_at = now
 
-    def refusing(self, now: float) -> bool:
+    def is_refusing(self, now: float) -> bool:
         """Return whether a refusal for lack of room still holds."""
         return now < self.refuses_until
 
@@ -116,7 +116,7 @@
             and now - self.last_heard_at > limit
         )
 
-    def ejected(self, now: float) -> bool:
+    def is_ejected(self, now: float) -> bool:
         """Return whether the endpoint is ejected now."""
         return now < self.ejected_until
 
@@ -138,7 +138,7 @@
         )
         latency = max(decayed, MIN_LATENCY_SECONDS)
         cost = latency * (1 + queued + LATENCY_SHARE_PER_REQUEST * requests)
-        if self.refusing(now):
+        if self.is_refusing(now):
             cost += self.refusal_seconds
         if self.is_unresponsive(now):
             cost *= UNRESPONSIVE_COST_FACTOR
