--- a/bench/deployment.py
+++ b/bench/deployment.py
@@ -31,7 +31,7 @@
     ZoneName,
 )
 from wagtailcleat.membership.view import View
-from wagtailcleat.routing.choose import chooser
+from wagtailcleat.routing.choose import selector_for
 from wagtailcleat.routing.latency import EndpointRecord, Endpoints
 from wagtailcleat.settings import Timing
 from wagtailcleat.wire.handshake import Role
@@ -270,7 +270,7 @@
         in_force,
         peers,  # type: ignore[arg-type]
         clock=made.clock,
-        choose=chooser(policy.routing, random.Random(f"{seed}/route/{number}")),
+        choose=selector_for(policy.routing, random.Random(f"{seed}/route/{number}")),
         rng=random.Random(f"{seed}/relay/{number}"),
         ids=RequestIds(me.node, me.incarnation, SECRET),
         is_view_fresh=lambda: True,
--- a/wagtailcleat/entry/app.py
+++ b/wagtailcleat/entry/app.py
@@ -28,7 +28,7 @@
     bind,
     bound_port,
 )
-from wagtailcleat.routing.choose import chooser
+from wagtailcleat.routing.choose import selector_for
 from wagtailcleat.settings import EntrySettings
 from wagtailcleat.wire.handshake import Role
 from wagtailcleat.wire.membership import MemberState
@@ -69,7 +69,7 @@
             node.in_force,
             node.peers,
             clock=node.clock,
-            choose=chooser(settings.routing, node.rng("routing")),
+            choose=selector_for(settings.routing, node.rng("routing")),
             rng=node.rng("relay"),
             ids=RequestIds(
                 node.view.me.node, node.view.me.incarnation, settings.secret
--- a/wagtailcleat/entry/relay.py
+++ b/wagtailcleat/entry/relay.py
@@ -23,7 +23,7 @@
     Rejected,
     RequestOutcome,
 )
-from wagtailcleat.routing.choose import Choose, candidates
+from wagtailcleat.routing.choose import EndpointSelector, candidates
 from wagtailcleat.routing.latency import EndpointRecord, Endpoints
 from wagtailcleat.routing.retries import MAX_TRIES, RetryBudget
 from wagtailcleat.wire.membership import Member
@@ -88,7 +88,7 @@
         peers: Peers,
         *,
         clock: Clock,
-        choose: Choose,
+        choose: EndpointSelector,
         rng: random.Random,
         ids: RequestIds,
         is_view_fresh: Callable[[], bool],
--- a/wagtailcleat/routing/choose.py
+++ b/wagtailcleat/routing/choose.py
@@ -16,7 +16,7 @@
 MAX_EJECTED_SHARE = 0.5
 MAX_COMPARED = 16
 
-Choose = Callable[[list[Member], Endpoints, float], Member]
+EndpointSelector = Callable[[list[Member], Endpoints, float], Member]
 """Returns one of the candidates, of which there must be at least one.
 
 The last argument is the present time, in seconds.
@@ -64,7 +64,7 @@
     return kept if len(kept) >= len(eligible) * (1 - MAX_EJECTED_SHARE) else eligible
 
 
-def chooser(policy: Policy, rng: random.Random) -> Choose:
+def selector_for(policy: Policy, rng: random.Random) -> EndpointSelector:
     """Return the function that chooses an endpoint by `policy`."""
     choices_made = 0
 
@@ -89,7 +89,7 @@
         ordered = sorted(members, key=lambda m: m.node)
         return ordered[choices_made % len(ordered)]
 
-    choose_by_policy: dict[Policy, Choose] = {
+    choose_by_policy: dict[Policy, EndpointSelector] = {
         Policy.TWO_CHOICES: two_choices,
         Policy.LEAST_COST: least_cost,
         Policy.RANDOM: random_choice,
