--- a/features/steps/members_steps.py
+++ b/features/steps/members_steps.py
@@ -122,9 +122,9 @@
 @then('"{name}" treats its view as stale, also after {seconds:d} more seconds')
 def step_view_is_stale(context, name, seconds):
     node = context.deployment.node_by_name[name]
-    assert not node.fresh()
+    assert not node.is_view_fresh()
     context.deployment.pass_time(seconds)
-    assert not node.fresh()
+    assert not node.is_view_fresh()
 
 
 @when("the partition heals")
@@ -138,7 +138,7 @@
 def step_view_is_fresh(context, seconds, name):
     context.deployment.pass_time(seconds)
     node = context.deployment.node_by_name[name]
-    assert node.fresh()
+    assert node.is_view_fresh()
     assert node.in_force.configuration.zones_out == ["zilina-a"]
 
 
--- a/wagtailcleat/agent/app.py
+++ b/wagtailcleat/agent/app.py
@@ -107,7 +107,7 @@
         """Return why no new request, task or shard is accepted; empty if they are."""
         if self.leaving:
             return "the agent leaves"
-        if not self.node.fresh():
+        if not self.node.is_view_fresh():
             return "this process was paused and is hearing its peers anew"
         return self.evict_all_reason()
 
--- a/wagtailcleat/entry/app.py
+++ b/wagtailcleat/entry/app.py
@@ -74,7 +74,7 @@
             ids=RequestIds(
                 node.view.me.node, node.view.me.incarnation, settings.secret
             ),
-            is_view_fresh=node.fresh,
+            is_view_fresh=node.is_view_fresh,
         )
         callers = CallersContext(
             self.relay,
--- a/wagtailcleat/membership/freshness.py
+++ b/wagtailcleat/membership/pause_detector.py
@@ -1,6 +1,6 @@
 """Detects that this process was paused, so that nobody acts on a stale view.
 
-Every node runs a `Freshness`; entry and agent consult it before they act on the
+Every node runs a `PauseDetector`; entry and agent consult it before they act on the
 membership view or the configuration. A VM that was paused resumes with its old view,
 in which a zone may still be in or a leaving endpoint may still accept requests. The
 pause shows as a gap between two checks on the event loop. From then on the view
@@ -24,7 +24,7 @@
 """Exchanges views with a peer; returns whether one answered or no peer is known."""
 
 
-class Freshness:
+class PauseDetector:
     """Detects pauses of this process, and refreshes the view after each of them."""
 
     def __init__(self, clock: Clock, refresh: Refresh) -> None:
@@ -35,7 +35,7 @@
         self._last_check_at = clock()
         self._stale = False
 
-    def fresh(self, now: float) -> bool:
+    def is_view_fresh(self, now: float) -> bool:
         """Return whether the view may be acted on at `now`; mark it stale if not.
 
         The gap is measured here as well as in `run`, because after a pause a message
@@ -51,7 +51,7 @@
         while True:
             await asyncio.sleep(CHECK_INTERVAL_SECONDS)
             now = self._clock()
-            if not self.fresh(now):
+            if not self.is_view_fresh(now):
                 await self._recover_from_pause(now - self._last_check_at)
             self._last_check_at = self._clock()
 
--- a/wagtailcleat/node.py
+++ b/wagtailcleat/node.py
@@ -9,9 +9,9 @@
 from wagtailcleat.configuration.parts import InForce
 from wagtailcleat.ids import NodeId, VmName, ZoneName
 from wagtailcleat.introspection import Introspection
-from wagtailcleat.membership.freshness import Freshness
 from wagtailcleat.membership.gossip import Gossiper, parse_seeds
 from wagtailcleat.membership.identity import refuse_taken_name
+from wagtailcleat.membership.pause_detector import PauseDetector
 from wagtailcleat.membership.view import View
 from wagtailcleat.platform.store import Store
 from wagtailcleat.process import (
@@ -45,7 +45,7 @@
     in_force: InForce
     gossiper: Gossiper
     seeds: list[tuple[str, int]]
-    freshness: Freshness
+    pause_detector: PauseDetector
     store: Store
 
     async def refuse_taken_name(self) -> None:
@@ -60,11 +60,11 @@
     def start(self) -> None:
         """Start gossip under the supervisor."""
         self.supervisor.spawn("gossip", self.gossiper.run)
-        self.supervisor.spawn("freshness", self.freshness.run)
+        self.supervisor.spawn("freshness", self.pause_detector.run)
 
-    def fresh(self) -> bool:
+    def is_view_fresh(self) -> bool:
         """Tell whether the view may be acted on, or stems from before a pause."""
-        return self.freshness.fresh(self.clock())
+        return self.pause_detector.is_view_fresh(self.clock())
 
     def rng(self, purpose: str) -> random.Random:
         """Return a generator of its own for one purpose."""
@@ -155,7 +155,7 @@
         in_force,
         gossiper,
         seeds,
-        Freshness(clock, gossiper.refresh),
+        PauseDetector(clock, gossiper.refresh),
         store,
     )
     _add_sections(made)
@@ -178,7 +178,7 @@
     add("members", lambda: _members(node.view))
     add("streams", lambda: _streams(node))
     add("store", node.store.dump)
-    add("pauses", lambda: node.freshness.pauses)
+    add("pauses", lambda: node.pause_detector.pauses)
     add("supervisor", node.supervisor.dump)
 
 
