--- a/features/steps/takeover_world.py
+++ b/features/steps/takeover_world.py
@@ -202,7 +202,7 @@
         self.reverse: FakeStream | None = None
 
     @property
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         """Whether the connection is open."""
         return not self.closed
 
@@ -294,7 +294,7 @@
         """Return the open stream to an address, or open one."""
         network = self.network
         stream = self.stream_by_host.get(host)
-        if stream is not None and stream.usable and stream.process.alive:
+        if stream is not None and stream.is_usable and stream.process.alive:
             return stream
         state = network.link_state(self.host, host)
         if state is LinkState.SILENT:
--- a/wagtailcleat/wire/peers.py
+++ b/wagtailcleat/wire/peers.py
@@ -211,7 +211,7 @@
         """Return the open stream to an address, or open one; `Lost` if that fails."""
         address = (host, port)
         stream = self._stream_by_address.get(address)
-        if stream is not None and stream.usable:
+        if stream is not None and stream.is_usable:
             return stream
         opening = self._opening_by_address.get(address)
         if opening is None:
--- a/wagtailcleat/wire/streams.py
+++ b/wagtailcleat/wire/streams.py
@@ -97,7 +97,7 @@
         return self._inbound.open_count
 
     @property
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         """Whether a new call may be sent."""
         return not (self.closed or self._goaway_received)
 
@@ -143,7 +143,7 @@
         Without `parts`, an answer in parts is reassembled; if it stays incomplete, the
         result is `Lost`.
         """
-        if not self.usable:
+        if not self.is_usable:
             return Lost(False, "the stream takes no more calls")
         if self._outbound.is_full:
             return Lost(False, "too many calls wait on the stream")
