--- a/wagtailcleat/entry/callers.py
+++ b/wagtailcleat/entry/callers.py
@@ -225,7 +225,7 @@
         # stream, such as an error: it is relayed complete or not at all.
         try:
             async with asyncio.timeout(max(0.0, deadline - self.callers.clock())):
-                body = await watch.parts.whole()
+                body = await watch.parts.read_all()
         except TimeoutError:
             body = Lost(True, "the answer did not end in time")
         self.callers.relay.cancel_watch(watch)
--- a/wagtailcleat/wire/outbound.py
+++ b/wagtailcleat/wire/outbound.py
@@ -137,7 +137,7 @@
 async def _reassemble(reply: AnyMessage | Lost, parts: Parts) -> AnyMessage | Lost:
     if not isinstance(reply, Answer) or not reply.parts:
         return reply
-    body = await parts.whole()
+    body = await parts.read_all()
     if isinstance(body, Lost):
         return body
     return msgspec.structs.replace(reply, body=body, parts=False)
--- a/wagtailcleat/wire/parts.py
+++ b/wagtailcleat/wire/parts.py
@@ -60,7 +60,7 @@
             if isinstance(item, PartsEnd | Lost):
                 return
 
-    async def whole(self) -> bytes | Lost:
+    async def read_all(self) -> bytes | Lost:
         """Return the complete body, or `Lost` if its end did not arrive."""
         chunks: list[bytes] = []
         async for item in self:
