--- a/bench/fakes.py
+++ b/bench/fakes.py
@@ -1,6 +1,6 @@
 """Fakes at the interfaces of the decisions: the network, and endpoints with slots.
 
-Everything that decides is the product's own code: `Relay`, `Services`, `Slots`,
+Everything that decides is the product's own code: `Relay`, `Services`, `SlotQueue`,
 the routing functions. What stands here only takes time.
 """
 
--- a/wagtailcleat/agent/service_instance.py
+++ b/wagtailcleat/agent/service_instance.py
@@ -8,7 +8,7 @@
 from wagtailcleat.clock import Clock
 from wagtailcleat.configuration.models import Service
 from wagtailcleat.errors import Code
-from wagtailcleat.routing.admission import Refuse, Slots, Wait
+from wagtailcleat.routing.admission import Refuse, SlotQueue, Wait
 from wagtailcleat.wire.requests import Load
 from wagtailcleat.wire.results import Refused
 
@@ -25,7 +25,7 @@
         """Serve at `endpoint` within the limits of `service`."""
         self.service = service
         self.endpoint = endpoint
-        self.slots = Slots(service.slots, service.queue)
+        self.slots = SlotQueue(service.slots, service.queue)
         self.watchers = 0
         self.latencies = HdrHistogram(
             1, HIGHEST_LATENCY_MICROSECONDS, SIGNIFICANT_DIGITS
--- a/wagtailcleat/routing/admission.py
+++ b/wagtailcleat/routing/admission.py
@@ -1,6 +1,6 @@
 """Admission control: an agent runs, queues or refuses each service request.
 
-The agent's service instance asks `Slots.decide` for each request that arrives. A
+The agent's service instance asks `SlotQueue.decide` for each request that arrives. A
 request that can't be answered by its deadline, or that finds the queue full, is
 refused at once, with the seconds after which to retry.
 """
@@ -37,7 +37,7 @@
 
 
 @dataclass
-class Slots:
+class SlotQueue:
     """The slots and the queue of one service at one endpoint.
 
     `slots` and `queue` are the limits; `in_use` and `queued` count the requests that
