--- a/bench/deployment.py
+++ b/bench/deployment.py
@@ -35,7 +35,7 @@
     ZoneName,
 )
 from wagtailcleat.membership.view import View
-from wagtailcleat.routing.choose import chooser
+from wagtailcleat.routing.choose import selector_for
 from wagtailcleat.routing.latency import EndpointRecord, Endpoints
 from wagtailcleat.settings import Timing
 from wagtailcleat.wire.handshake import Role
@@ -53,7 +53,7 @@
 class RecordIgnoringRefusals(EndpointRecord):
     """A record that ignores refusals, for the baseline that always retries."""
 
-    def refusing(self, now: float) -> bool:
+    def is_refusing(self, now: float) -> bool:
         """Return that no refusal is in force."""
         return False
 
@@ -279,7 +279,7 @@
         in_force,
         peers,  # type: ignore[arg-type]
         clock=deployment.clock,
-        choose=chooser(policy.routing, random.Random(f"{seed}/route/{number}")),
+        choose=selector_for(policy.routing, random.Random(f"{seed}/route/{number}")),
         rng=random.Random(f"{seed}/relay/{number}"),
         ids=RequestIds(me.node, me.incarnation, SECRET),
         is_view_fresh=lambda: True,
--- a/bench/fakes.py
+++ b/bench/fakes.py
@@ -1,6 +1,6 @@
 """Models of the network and of endpoints, for `bench.deployment`.
 
-Everything that decides is the product's own code: `Relay`, `Services`, `Slots`,
+Everything that decides is the product's own code: `Relay`, `Services`, `SlotQueue`,
 the routing functions. The models only add delays and faults.
 """
 
--- a/wagtailcleat/entry/app.py
+++ b/wagtailcleat/entry/app.py
@@ -28,7 +28,7 @@
     bind,
     bound_port,
 )
-from wagtailcleat.routing.choose import chooser
+from wagtailcleat.routing.choose import selector_for
 from wagtailcleat.settings import EntrySettings
 from wagtailcleat.wire.handshake import Role
 from wagtailcleat.wire.membership import MemberState
@@ -69,12 +69,12 @@
             node.in_force,
             node.peers,
             clock=node.clock,
-            choose=chooser(settings.routing, node.rng("routing")),
+            choose=selector_for(settings.routing, node.rng("routing")),
             rng=node.rng("relay"),
             ids=RequestIds(
                 node.view.me.node, node.view.me.incarnation, settings.secret
             ),
-            is_view_fresh=node.fresh,
+            is_view_fresh=node.is_view_fresh,
         )
         callers = CallersContext(
             self.relay,
@@ -178,7 +178,7 @@
             node: {
                 "latency_ms": round(record.latency * 1000, 3),
                 "in_flight": record.in_flight,
-                "ejected": record.ejected(now),
+                "ejected": record.is_ejected(now),
             }
             for node, record in records.items()
         }
