--- a/bench/sharing_fleet.py
+++ b/bench/sharing_fleet.py
@@ -14,7 +14,7 @@
 
 from wagtailcleat.ids import JobId, NodeId, ServiceName, ZoneName
 from wagtailcleat.resources import Resources
-from wagtailcleat.scheduling.book import record_of
+from wagtailcleat.scheduling.job_table import record_of
 from wagtailcleat.scheduling.models import (
     Ended,
     Job,
@@ -226,7 +226,7 @@
 
     def _submit(self, job: Job) -> None:
         self._jobs.append(job)
-        self._scheduler.book.add(job, now=self._now, wall_now=self._now)
+        self._scheduler.job_table.add(job, now=self._now, wall_now=self._now)
 
     def _new_leader(self) -> Scheduler:
         """Return the scheduler of a new leader, restored from what is stored."""
@@ -235,22 +235,22 @@
         scheduler = Scheduler(
             self._epoch,  # type: ignore[arg-type]
             lease_horizon=LEASE_HORIZON_SECONDS,
-            stop_again=STOP_RETRY_SECONDS,
+            stop_retry_seconds=STOP_RETRY_SECONDS,
         )
         self._prepare(scheduler)
         if before is not None:
-            learnt = before.sharing.interference.learnt()
-            scheduler.sharing.interference.restore(learnt)
+            stored = before.sharing.interference.export()
+            scheduler.sharing.interference.restore(stored)
             self._restore_jobs(before, scheduler)
         return scheduler
 
     def _restore_jobs(self, before: Scheduler, scheduler: Scheduler) -> None:
-        scheduler.unheard = set(self._workers)
-        for entry in before.book.entry_by_id.values():
-            new = scheduler.book.add(
+        scheduler.unreported_agents = set(self._workers)
+        for entry in before.job_table.entry_by_id.values():
+            new = scheduler.job_table.add(
                 entry.job, now=self._now, wall_now=self._now, record=record_of(entry)
             )
-            new.settled = False
+            new.may_start_tasks = False
         for worker in self._workers.values():
             worker.orders_taken = 0
 
@@ -279,18 +279,20 @@
             silent_seconds=0.0,
             lease_seconds=LEASE_HORIZON_SECONDS,
             orders_taken=worker.orders_taken,
-            ends_whole=True,
+            has_all_ends=True,
         )
-        self._scheduler.take_report(report, 1, now=self._now, wall_now=self._now)
+        self._scheduler.process_report(report, 1, now=self._now, wall_now=self._now)
         self._scheduler.vm_by_node[worker.node].registered = True
 
     def _running(self, worker: _Worker, run: _Run) -> Running:
-        figure = run.step.size.cores * run.pace if not run.restore_seconds_left else 0.0
+        measurement = (
+            run.step.size.cores * run.pace if not run.restore_seconds_left else 0.0
+        )
         if run.step.target_seconds:
             samples = worker.utilization_by_job.get(run.key.task.job)
             mean = sum(samples) / len(samples) if samples else 0.0
-            figure = round(IDLE_SECONDS / (1 - min(0.98, mean)), 3)
-        return Running(run.key, "", 0, figure)
+            measurement = round(IDLE_SECONDS / (1 - min(0.98, mean)), 3)
+        return Running(run.key, "", 0, measurement)
 
     def _run_scheduler(self) -> None:
         scheduler = self._scheduler
@@ -298,7 +300,7 @@
             now=self._now, predecessors_until=self._now - LEASE_HORIZON_SECONDS
         )
         scheduler.place(now=self._now, wall_now=self._now)
-        for entry in scheduler.book.entry_by_id.values():
+        for entry in scheduler.job_table.entry_by_id.values():
             scheduler.committed(entry, entry.version)
             if entry.state.final:
                 self._done_at_by_job.setdefault(entry.job.id, self._now)
@@ -317,7 +319,7 @@
         worker.ended = [e for e in worker.ended if e.number > orders.acknowledged]
 
     def _new_run(self, key: RunKey) -> _Run:
-        job = self._scheduler.book.entry_by_id[key.task.job].job
+        job = self._scheduler.job_table.entry_by_id[key.task.job].job
         seconds = self._work_by_job.get(key.task.job, math.inf)
         remaining = self._remaining_by_task.get(key.task, seconds)
         fails = self._random.random() < FAILING_SHARE and remaining < math.inf
--- a/features/steps/bench_steps.py
+++ b/features/steps/bench_steps.py
@@ -85,7 +85,7 @@
 @when("nothing is received from it for {seconds:g} s")
 def step_nothing_received(context, seconds):
     context.now = 10.0 + seconds
-    context.other.told(Load(6, 0, 8), context.now)
+    context.other.record_load(Load(6, 0, 8), context.now)
 
 
 @then("its cost is higher than that of one with 6 requests that has just answered")
@@ -98,7 +98,7 @@
     record = EndpointRecord(latency=latency, updated_at=10.0)
     for _ in range(in_flight):
         record.sent(10.0)
-    record.told(Load(in_flight, 0, 8), 10.0)
+    record.record_load(Load(in_flight, 0, 8), 10.0)
     return record
 
 
--- a/features/steps/ended_runs_steps.py
+++ b/features/steps/ended_runs_steps.py
@@ -13,7 +13,7 @@
     plain,
 )
 from wagtailcleat.cluster.keys import decode
-from wagtailcleat.scheduling.book import record_of
+from wagtailcleat.scheduling.job_table import record_of
 from wagtailcleat.scheduling.models import (
     JobRecord,
     JobState,
@@ -25,8 +25,8 @@
 
 def _records(world):
     """Return the jobs with the records that the leader would store now."""
-    book = world.scheduler.book
-    return [(entry.job, record_of(entry)) for entry in book.entry_by_id.values()]
+    job_table = world.scheduler.job_table
+    return [(entry.job, record_of(entry)) for entry in job_table.entry_by_id.values()]
 
 
 def _restart_leader(context, stored=None):
@@ -35,15 +35,15 @@
     stored = stored or _records(world)
     context.epoch = getattr(context, "epoch", 1) + 1
     world.lead(context.epoch)
-    world.scheduler.unheard = set(world.worker_by_node)
+    world.scheduler.unreported_agents = set(world.worker_by_node)
     for worker in world.worker_by_node.values():
         worker.orders_taken = 0
         worker.session += 1
     for job, record in stored:
-        entry = world.scheduler.book.add(
+        entry = world.scheduler.job_table.add(
             job, now=world.now, wall_now=world.wall_now, record=record
         )
-        entry.settled = False
+        entry.may_start_tasks = False
 
 
 def _only_run(context):
@@ -235,7 +235,9 @@
 
 @then("the log says that the failure was known")
 def step_log_known(context):
-    events = [note.event.value for note in context.world.scheduler.take_notes()]
+    events = [
+        logged.event.value for logged in context.world.scheduler.take_logged_events()
+    ]
     assert events.count("Failure was known") == 1, events
 
 
@@ -261,7 +263,7 @@
 @then('job "{name}" has failed after {count:d} start')
 def step_failed_after(context, name, count):
     _rounds(context.world, 2)
-    entry = context.world.scheduler.book.entry_by_id[name]
+    entry = context.world.scheduler.job_table.entry_by_id[name]
     assert entry.state is JobState.FAILED, entry.state
     assert len(context.world.starts) == count, context.world.starts
 
--- a/features/steps/leader_steps.py
+++ b/features/steps/leader_steps.py
@@ -155,7 +155,7 @@
 def step_watch(context):
     world = context.leading
     world.store.delivers_changes = True
-    world.until(lambda: JOB in world.leader.scheduler.book.entry_by_id)
+    world.until(lambda: JOB in world.leader.scheduler.job_table.entry_by_id)
 
 
 @then("only that run continues")
@@ -234,7 +234,7 @@
 
 
 def _interference(world):
-    return world.leader.scheduler.sharing.interference.learnt()
+    return world.leader.scheduler.sharing.interference.export()
 
 
 @given("a leader that has measured which images interfere")
--- a/features/steps/platform_adapter_steps.py
+++ b/features/steps/platform_adapter_steps.py
@@ -17,9 +17,9 @@
 from wagtailcleat.ids import JobId, ServiceName
 from wagtailcleat.logs import BoundedOutput
 from wagtailcleat.operator.explain import gap_lines, read_timeline, timeline_lines
-from wagtailcleat.platform.exchange import HttpClient, NoAnswer, Reply
 from wagtailcleat.platform.fields import BodyError
 from wagtailcleat.platform.heartbeats import decode_heartbeat
+from wagtailcleat.platform.http_client import HttpClient, NoAnswer, Reply
 from wagtailcleat.platform.runs import _parse_run_list
 from wagtailcleat.platform.submissions import decode_job
 from wagtailcleat.scheduling.queues import Queue
@@ -117,7 +117,7 @@
     row = ["00ff.0.1.17", 2, "", 100, milliseconds]
     body = {"clockMs": 1000, "running": [row], "finished": [], "born": 7}
     listed = _parse_run_list(Reply(200, body))
-    assert listed.running[0].figure == seconds, listed
+    assert listed.running[0].measurement == seconds, listed
     assert listed.running[0].key.task == ("00ff", 0, 1, 17), listed
 
 
--- a/wagtailcleat/cluster/hosting.py
+++ b/wagtailcleat/cluster/hosting.py
@@ -22,13 +22,13 @@
 )
 from wagtailcleat.ids import ZoneName
 from wagtailcleat.logs import part_logger
-from wagtailcleat.platform.exchange import NoAnswer
 from wagtailcleat.platform.heartbeats import Heartbeat
+from wagtailcleat.platform.http_client import NoAnswer
 from wagtailcleat.platform.runs import (
-    OtherLife,
+    OtherIncarnation,
     RunList,
     RunWorker,
-    Stale,
+    StaleFence,
     StartOutcome,
 )
 from wagtailcleat.scheduling.models import (
@@ -83,7 +83,7 @@
     listed_at: float = 0.0
     running: list[Running] = field(default_factory=list)
     ended: list[Ended] = field(default_factory=list)
-    ends_whole: bool = True
+    has_all_ends: bool = True
     """Whether the last list contains every unacknowledged end."""
     acknowledged: int = 0
     lease_until: float = 0.0
@@ -109,7 +109,7 @@
         lease_limit: float,
         may_start: Callable[[], bool],
         leader_contact_at: Callable[[], float],
-        zone_out: Callable[[ZoneName], bool],
+        is_zone_out: Callable[[ZoneName], bool],
         on_change: Callable[[], None],
     ) -> None:
         """Create it without a worker.
@@ -117,8 +117,8 @@
         Parameters: `own_host` is the address of this VM; `lease_limit` is the longest
         lease that the platform grants, in seconds; `may_start` returns whether the
         leader's orders may be carried out now; `leader_contact_at` returns when the
-        leader was last reached; `zone_out` returns whether operators have taken a zone
-        out; `on_change` is called when there is something to report.
+        leader was last reached; `is_zone_out` returns whether operators have taken a
+        zone out; `on_change` is called when there is something to report.
         """
         self.info: WorkerInfo | None = None
         self.left = False
@@ -130,7 +130,7 @@
         self._lease = min(RUN_LEASE_SECONDS, lease_limit)
         self._may_start = may_start
         self._leader_contact_at = leader_contact_at
-        self._zone_out = zone_out
+        self._is_zone_out = is_zone_out
         self._on_change = on_change
         self._incarnation: _WorkerIncarnation | None = None
         self._last_sequence = -1
@@ -160,9 +160,9 @@
         return self._incarnation.ended if self._incarnation else []
 
     @property
-    def ends_whole(self) -> bool:
+    def has_all_ends(self) -> bool:
         """Whether `ended` has every unacknowledged end."""
-        return self._incarnation is None or self._incarnation.ends_whole
+        return self._incarnation is None or self._incarnation.has_all_ends
 
     @property
     def refusals(self) -> int:
@@ -297,14 +297,14 @@
             return False
         if isinstance(answer, RunList):
             return await self._apply_list(incarnation, answer)
-        if isinstance(answer, Stale):
+        if isinstance(answer, StaleFence):
             incarnation.worker.fence = incarnation.born + int(
                 answer.worker_seconds * MILLISECONDS
             )
             log.warning(
                 "Fencing token was stale", extra={"fence": incarnation.worker.fence}
             )
-        elif isinstance(answer, OtherLife):
+        elif isinstance(answer, OtherIncarnation):
             log.warning(
                 "Another incarnation of the worker answers",
                 extra={"worker": incarnation.instance},
@@ -353,7 +353,7 @@
         changed = changed or known_runs != {running.key for running in answer.running}
         incarnation.running = answer.running
         incarnation.ended = answer.ended
-        incarnation.ends_whole = answer.ends_whole
+        incarnation.has_all_ends = answer.has_all_ends
         incarnation.lists_answered += 1
         incarnation.listed_at = now
         incarnation.runs_lost = False
@@ -384,7 +384,7 @@
         incarnation.runs_lost = True
         incarnation.running = []
         # Ends that its last list had no room for will never be listed.
-        incarnation.ends_whole = True
+        incarnation.has_all_ends = True
         log.warning("Runs are lost", extra={"worker": incarnation.instance, "why": why})
         for task in self._work:
             task.cancel()
@@ -432,7 +432,7 @@
         return (
             info is not None
             and info.state is WorkerState.READY
-            and not self._zone_out(info.zone)
+            and not self._is_zone_out(info.zone)
             and self._may_start()
         )
 
@@ -457,7 +457,7 @@
         )
         if isinstance(outcome, Refusal):
             self._refuse(start.key, outcome)
-        elif isinstance(outcome, OtherLife):
+        elif isinstance(outcome, OtherIncarnation):
             self._refuse(start.key, Refusal.NEVER_RAN)
         elif outcome is StartOutcome.STARTED:
             await self._wait_until_listed(incarnation, start.key)
@@ -514,7 +514,7 @@
 def _is_list_complete(incarnation: _WorkerIncarnation, wanted: int) -> bool:
     # A run may be missing because the list had no room for its end, which does not
     # mean that it never ran.
-    return incarnation.lists_answered >= wanted and incarnation.ends_whole
+    return incarnation.lists_answered >= wanted and incarnation.has_all_ends
 
 
 def _is_listed(incarnation: _WorkerIncarnation, key: RunKey) -> bool:
--- a/wagtailcleat/cluster/records.py
+++ b/wagtailcleat/cluster/records.py
@@ -21,7 +21,7 @@
 from wagtailcleat.cluster.leader_lease import LeaderLease
 from wagtailcleat.ids import JobId, NodeId
 from wagtailcleat.platform.keyvalue import MAX_TXN_ENTRIES, KeyValueStore
-from wagtailcleat.scheduling.book import JobEntry, record_of
+from wagtailcleat.scheduling.job_table import JobEntry, record_of
 from wagtailcleat.scheduling.scheduler import Scheduler
 from wagtailcleat.storage import Compare, Conflict, Txn, WriteOutcome, Written
 
@@ -131,7 +131,7 @@
             await self._delete_expired()
 
     def _changed(self) -> list[JobEntry]:
-        entries = self._scheduler.book.entry_by_id.values()
+        entries = self._scheduler.job_table.entry_by_id.values()
         return [entry for entry in entries if entry.version > entry.committed]
 
     def _next_batch(self, changed: list[JobEntry]) -> list[JobEntry]:
@@ -166,7 +166,7 @@
         vms = [
             vm
             for vm in self._scheduler.vm_by_node.values()
-            if not vm.registered and vm.present and vm.worker is not None
+            if not vm.registered and vm.is_connected and vm.worker is not None
         ]
         new = [vm for vm in vms if vm.node not in self.registered]
         for first in range(0, len(new), AGENTS_PER_WRITE):
@@ -192,7 +192,7 @@
     async def _deregister_agents(self) -> None:
         # A new leader waits for each registered agent before it starts work again that
         # was running: an agent that is gone would delay all of it.
-        idle = {vm.node for vm in self._scheduler.idle_absent()}
+        idle = {vm.node for vm in self._scheduler.idle_disconnected_vms()}
         # The agents that may still be registered count, not those that were last sent
         # to the store: a delete that was not carried out must be tried again.
         registered = [node for node, at in self._revision_by_agent.items() if at]
@@ -201,7 +201,9 @@
             for node in registered
             if node in idle or node not in self._scheduler.vm_by_node
         ]
-        departed = [node for node in departed if node not in self._scheduler.unheard]
+        departed = [
+            node for node in departed if node not in self._scheduler.unreported_agents
+        ]
         if not departed:
             return
         batch = departed[:AGENTS_PER_WRITE]
@@ -315,10 +317,10 @@
 
     async def _delete_expired(self) -> None:
         horizon = self._wall_clock() - self._status_kept - EXPIRY_MARGIN_SECONDS
-        book = self._scheduler.book
+        job_table = self._scheduler.job_table
         old = [
             entry
-            for entry in book.entry_by_id.values()
+            for entry in job_table.entry_by_id.values()
             if entry.state.final
             and entry.committed >= entry.version
             and entry.ended_at < horizon
@@ -331,7 +333,7 @@
         )
         if isinstance(await self._store.write(txn), Written):
             for entry in batch:
-                del book.entry_by_id[entry.job.id]
+                del job_table.entry_by_id[entry.job.id]
 
 
 def _batch(changed: list[JobEntry]) -> tuple[list[JobEntry], list[bytes]]:
--- a/wagtailcleat/entry/relay.py
+++ b/wagtailcleat/entry/relay.py
@@ -23,14 +23,14 @@
     Rejected,
     RequestOutcome,
 )
-from wagtailcleat.routing.choose import Choose, candidates
+from wagtailcleat.routing.choose import EndpointSelector, candidates
 from wagtailcleat.routing.latency import EndpointRecord, Endpoints
 from wagtailcleat.routing.retries import MAX_TRIES, RetryBudget
 from wagtailcleat.wire.membership import Member
 from wagtailcleat.wire.messages import AnyMessage
 from wagtailcleat.wire.parts import Lost, Parts
 from wagtailcleat.wire.peers import Peers
-from wagtailcleat.wire.request_ids import Home, RequestIds
+from wagtailcleat.wire.request_ids import AgentIncarnation, RequestIds
 from wagtailcleat.wire.requests import (
     WRONG_INCARNATION,
     Answer,
@@ -88,7 +88,7 @@
         peers: Peers,
         *,
         clock: Clock,
-        choose: Choose,
+        choose: EndpointSelector,
         rng: random.Random,
         ids: RequestIds,
         is_view_fresh: Callable[[], bool],
@@ -127,7 +127,7 @@
             if member is None or (tried and not self._take_retry(outcome, member)):
                 break
             tried.add(member.node)
-            outcome = await self._send_to(request, member, self._ids.plain())
+            outcome = await self._send_to(request, member, self._ids.next_plain())
             if not self._may_retry(request, outcome):
                 break
         return self._with_jitter(outcome)
@@ -147,7 +147,7 @@
                 break
             tried.add(member.node)
             parts = Parts()
-            message = self._make_message(request, member, self._ids.plain())
+            message = self._make_message(request, member, self._ids.next_plain())
             reply = await self._call(member, message, request.deadline, parts)
             if isinstance(reply, Answer) and reply.parts:
                 return Watch(reply, parts, member)
@@ -171,7 +171,7 @@
         member = self._choose_endpoint(service, set())
         if member is None:
             return None
-        return self._ids.keyed(Home(member.node, member.incarnation))
+        return self._ids.issue_keyed(AgentIncarnation(member.node, member.incarnation))
 
     async def _wait_for_fresh_view(self) -> None:
         # After a pause of this process, the view may still show a zone in use or an
@@ -208,14 +208,14 @@
     async def _send_with_key(
         self, request: CallerRequest, idempotency_key: RequestId
     ) -> RequestOutcome:
-        home = self._ids.home(idempotency_key)
-        if home is None:
+        bound = self._ids.bound_incarnation(idempotency_key)
+        if bound is None:
             reason = "the key is none that POST /services/NAME:request-id gave out"
             return Rejected(Code.INVALID, reason)
-        member = self._view.member_by_node.get(home.node)
-        if member is None or member.incarnation < home.incarnation:
+        member = self._view.member_by_node.get(bound.node)
+        if member is None or member.incarnation < bound.incarnation:
             return _unavailable("the agent that the key names is not known here yet")
-        if member.incarnation > home.incarnation:
+        if member.incarnation > bound.incarnation:
             return OutcomeUnknown("the agent that the key names was started anew")
         return self._with_jitter(await self._send_to(request, member, idempotency_key))
 
@@ -231,7 +231,7 @@
             if isinstance(reply, Lost) and reply.sent:
                 reply = await self._resolve_in_doubt(request, member, message)
         finally:
-            record.done(self._clock())
+            record.ended(self._clock())
         self._record_reply(record, reply, started)
         outcome = _to_outcome(reply)
         if request.idempotency_key is not None and not _holds_for_earlier_uses(reply):
@@ -245,7 +245,7 @@
     ) -> None:
         now = self._clock()
         if isinstance(reply, Answer):
-            record.told(reply.load, now)
+            record.record_load(reply.load, now)
             if reply.status < MIN_FAILURE_STATUS:
                 record.succeeded(now - started, now)
             else:
@@ -332,7 +332,7 @@
         # A request that was not run has put no load on an endpoint, so a retry does not
         # use the retry budget; but an endpoint that is refusing is not worth trying.
         if isinstance(outcome, NotRun):
-            if self.endpoints.record(member.node).refusing(self._clock()):
+            if self.endpoints.record(member.node).is_refusing(self._clock()):
                 return False
             self.retries += 1
             return True
--- a/wagtailcleat/platform/runs.py
+++ b/wagtailcleat/platform/runs.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 from wagtailcleat.ids import JobId
-from wagtailcleat.platform.exchange import HttpClient, NoAnswer, Reply
 from wagtailcleat.platform.fields import BodyError, get_integer, get_list
+from wagtailcleat.platform.http_client import HttpClient, NoAnswer, Reply
 from wagtailcleat.scheduling.models import (
     Ended,
     Refusal,
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True)
-class Stale:
+class StaleFence:
     """The worker has seen a newer fencing token than the one of this process.
 
     `worker_seconds` is the worker's clock when it answered.
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True)
-class OtherLife:
+class OtherIncarnation:
     """Another incarnation of the worker, or another worker, answered at the address."""
 
 
@@ -86,7 +86,7 @@
     ended: list[Ended]
     born: int
     """Birth time of the worker's incarnation; 0 if the answer has none."""
-    ends_whole: bool
+    has_all_ends: bool
     """Whether `ended` is certain to contain every ended run."""
 
 
@@ -117,7 +117,7 @@
 
     async def start(
         self, start: Start, *, until: float
-    ) -> StartOutcome | Refusal | OtherLife:
+    ) -> StartOutcome | Refusal | OtherIncarnation:
         """Start a run whose lease ends at `until` in seconds on the worker's clock."""
         body: dict[str, Any] = {
             "task": _format_task_key(start.key.task),
@@ -154,7 +154,7 @@
 
     async def list(
         self, *, acknowledged: int, until: float | None, wait_seconds: float
-    ) -> RunList | Stale | OtherLife | NoAnswer:
+    ) -> RunList | StaleFence | OtherIncarnation | NoAnswer:
         """Renew all leases, acknowledge ended runs, and list all runs.
 
         Parameters: `acknowledged` is the number of the last ended run processed;
@@ -176,7 +176,7 @@
         if not isinstance(reply, Reply):
             return reply
         if reply.code == WRONG_INCARNATION:
-            return OtherLife()
+            return OtherIncarnation()
         try:
             return _parse_run_list(reply)
         except (BodyError, ValueError, TypeError, KeyError):
@@ -192,11 +192,11 @@
         )
 
 
-def _parse_start_outcome(reply: Reply) -> StartOutcome | Refusal | OtherLife:
+def _parse_start_outcome(reply: Reply) -> StartOutcome | Refusal | OtherIncarnation:
     if reply.code == OK:
         return StartOutcome.STARTED
     if reply.code == WRONG_INCARNATION:
-        return OtherLife()
+        return OtherIncarnation()
     if reply.code == CONFLICT:
         reason = str(reply.body.get("reason", ""))
         return REFUSAL_BY_REASON.get(reason, Refusal.INVALID)
@@ -205,9 +205,9 @@
     return Refusal.UNHEALTHY
 
 
-def _parse_run_list(reply: Reply) -> RunList | Stale | NoAnswer:
+def _parse_run_list(reply: Reply) -> RunList | StaleFence | NoAnswer:
     if reply.code == CONFLICT:
-        return Stale(get_integer(reply.body, "clockMs") / MILLISECONDS)
+        return StaleFence(get_integer(reply.body, "clockMs") / MILLISECONDS)
     if reply.code != OK:
         return NoAnswer.LOST
     ended = [_parse_ended(row) for row in get_list(reply.body, "finished")]
@@ -222,10 +222,10 @@
 
 def _parse_running(row: list[Any]) -> Running:
     key = RunKey(_parse_task_key(row[0]), int(row[1]))
-    figure = float(row[4]) if len(row) > 4 else 0.0
+    measurement = float(row[4]) if len(row) > 4 else 0.0
     # A serving run reports milliseconds, any other run thousandths of a core. The same
     # factor converts both, to seconds and to cores.
-    return Running(key, str(row[2]), int(row[3]), figure / MILLISECONDS)
+    return Running(key, str(row[2]), int(row[3]), measurement / MILLISECONDS)
 
 
 def _parse_ended(row: list[Any]) -> Ended:
--- a/wagtailcleat/scheduling/placement_rounds.py
+++ b/wagtailcleat/scheduling/placement_rounds.py
@@ -10,7 +10,13 @@
 
 from wagtailcleat.ids import Epoch, JobId, NodeId, ServiceName, ZoneName
 from wagtailcleat.scheduling.advice import Advice
-from wagtailcleat.scheduling.book import JobEntry, JobTable, StepKey, Task, TaskState
+from wagtailcleat.scheduling.job_table import (
+    JobEntry,
+    JobTable,
+    StepKey,
+    Task,
+    TaskState,
+)
 from wagtailcleat.scheduling.models import RunKey
 from wagtailcleat.scheduling.placement import (
     Candidates,
@@ -62,14 +68,14 @@
     def __init__(
         self,
         epoch: Epoch,
-        book: JobTable,
+        job_table: JobTable,
         sharing: Sharing,
         advice: Advice,
         start: StartRun,
     ) -> None:
-        """Place tasks of `book`; `start` is called for each run to start."""
+        """Place tasks of `job_table`; `start` is called for each run to start."""
         self._epoch = epoch
-        self._book = book
+        self._job_table = job_table
         self._sharing = sharing
         self._advice = advice
         self._start = start
@@ -108,12 +114,12 @@
         *,
         now: float,
         wall_now: float,
-        in_time: Callable[[], bool] = lambda: True,
+        may_continue: Callable[[], bool] = lambda: True,
     ) -> int:
         """Start waiting tasks as far as there is room; return the number of starts.
 
-        Parameters: `in_time` is called between two steps and returns whether the round
-        may continue. If not, the other steps are left to the next round, and
+        Parameters: `may_continue` is called between two steps and returns whether the
+        round may continue. If not, the other steps are left to the next round, and
         `cut_short` is set.
         """
         self._round += 1
@@ -122,7 +128,7 @@
         started = 0
         self.cut_short = False
         for entry, step in self._ranked_steps(now, wall_now):
-            if started >= MAX_STARTS_PER_ROUND or (started and not in_time()):
+            if started >= MAX_STARTS_PER_ROUND or (started and not may_continue()):
                 self.cut_short = True
                 break
             started += self._place_step(entry, step, now)
@@ -161,7 +167,7 @@
     def _candidates(self, search: _Search, service: ServiceName) -> list[Vm]:
         """Return the VMs that may have room although an earlier search found none."""
         failed_round = self._failed_round_by_search.get(search)
-        if failed_round is None or self._book.entry_by_id[search.job].job.advised:
+        if failed_round is None or self._job_table.entry_by_id[search.job].job.advised:
             # Tickets are granted and expire without a change of the VM.
             return self._pool_by_service.get(service, [])
         if failed_round == self._round - 1:
@@ -176,13 +182,13 @@
         """Return the waiting steps that may find room now, the highest-ranked first."""
         ranked = []
         known, self._failed_round_by_search = self._failed_round_by_search, {}
-        for entry in list(self._book.open_by_id.values()):
-            if not entry.settled:
+        for entry in list(self._job_table.open_by_id.values()):
+            if not entry.may_start_tasks:
                 continue
             if entry.occurrences_begun < entry.job.occurrences:
-                self._book.begin_due(entry, now=now, wall_now=wall_now)
+                self._job_table.begin_due(entry, now=now, wall_now=wall_now)
             for step, count in entry.waiting_by_step.items():
-                if not count or not self._book.is_ready(entry, step):
+                if not count or not self._job_table.is_ready(entry, step):
                     continue
                 # Only searches of waiting steps are kept: while a step runs, room may
                 # become free and be taken again.
@@ -298,7 +304,7 @@
         if known is None:
             pool = self._pool_by_service.get(service, [])
             total = sum(vm.capacity.cores for vm in pool)
-            known = sum(vm.taken.cores for vm in pool) / total if total else 1.0
+            known = sum(vm.committed.cores for vm in pool) / total if total else 1.0
             self._committed_by_service[service] = known
         return known
 
