--- a/features/platform/hosting.feature
+++ b/features/platform/hosting.feature
@@ -23,7 +23,7 @@
     When a start is ordered
     Then that start is refused at once
 
-  Scenario: A worker's leave is delayed until its next incarnation runs work
+  Scenario: A late leave of a worker's earlier incarnation does not end its present one
     # Guards against duplicate runs when an earlier incarnation's leave arrives late.
     Given an agent whose worker listens at its VM's address
     When the worker runs a task and a leave of its earlier incarnation arrives
--- a/features/platform/whole_path.feature
+++ b/features/platform/whole_path.feature
@@ -54,6 +54,7 @@
 
   Scenario: A queue whose steps only some workers may run
     # Guards against a job that never starts although a worker has a ticket for it.
+    # An advised queue's steps need tickets: the advice service's permits, one per worker.
     Given a deployment of 1 entry and 2 agents
     And the operator adds the advised queue "advised"
     When the advice service grants tickets for worker 2 only
--- a/features/steps/platform_adapter_steps.py
+++ b/features/steps/platform_adapter_steps.py
@@ -238,7 +238,7 @@
     context.cluster.wait_for_state(context.job, state, entry=context.entry, timeout=20)
 
 
-@then("its story tells, in this order")
+@then("its timeline shows, in this order")
 def step_story(context):
     cluster = context.cluster
     expected = [row["line"] for row in context.table]
@@ -265,7 +265,7 @@
     ]
 
 
-@given('log lines of job "{job}" with a torn line and a foreign line')
+@given('log lines of job "{job}" with a truncated line and a line of another program')
 def step_unreadable_lines(context, job):
     own = _own_lines()
     context.story = read_timeline(job, [own[0], own[1], own[1][:40], "hello"])
@@ -277,7 +277,7 @@
     context.story = read_timeline(job, lines)
 
 
-@then("its story has {own:d} lines of its own and {bad:d} that could not be read")
+@then("its timeline has {own:d} lines of its own and {bad:d} that could not be read")
 def step_counts(context, own, bad):
     story = context.story
     assert (len(story.job_lines), story.unreadable) == (own, bad), story
@@ -345,13 +345,13 @@
     context.story = read_timeline("a1", map(json.dumps, lines))
 
 
-@then('its story shows "{message}" of "{moment}"')
+@then('its timeline shows "{message}" of "{moment}"')
 def step_shows(context, message, moment):
     told = list(timeline_lines(context.story))
     assert any(message in text and f"{moment},000" in text for text in told), told
 
 
-@then('its story shows no line of "{moment}"')
+@then('its timeline shows no line of "{moment}"')
 def step_shows_none(context, moment):
     told = list(timeline_lines(context.story))
     assert not any(f"{moment},000" in text for text in told), told
@@ -370,7 +370,7 @@
     return [float(match[1]) for match in found if match]
 
 
-@then("its story says that it ended {seconds:g} s after its objective")
+@then("its timeline shows that it ended {seconds:g} s after its objective")
 def step_late_by(context, seconds):
     assert _after_objective(context.story) == [seconds], list(
         timeline_lines(context.story)
@@ -378,7 +378,7 @@
 
 
 @then(
-    "its story says that it ended more than {least:g} s and less than {most:g} s"
+    "its timeline shows that it ended more than {least:g} s and less than {most:g} s"
     " after its objective"
 )
 def step_late_between(context, least, most):
@@ -409,7 +409,7 @@
     assert f"{start},000 and" in text and f"{end},000" in text, told
 
 
-@then("its story says nothing of an objective")
+@then("its timeline shows no objective")
 def step_no_objective(context):
     assert not any("objective" in text for text in timeline_lines(context.story))
 
--- a/wagtailcleat/agent/grant_renewal.py
+++ b/wagtailcleat/agent/grant_renewal.py
@@ -1,9 +1,9 @@
 """Renews the grants of attempts at their shards' owners, and reports ends to them.
 
-A grant is a lease on running an attempt. The agent counts it from its request, the
-owner from its answer, so it always expires at the agent first. The worker's lease on
-the task ends at the same instant as the agent's grant: the worker itself stops a task
-whose agent has crashed or is paused.
+A grant is a lease on running an attempt. The agent counts the lease from the agent's
+request, the owner from the owner's answer, so the lease always expires at the agent
+first. The worker's lease on the task ends at the same instant as the agent's grant: the
+worker itself stops a task whose agent has crashed or is paused.
 """
 
 import asyncio
--- a/wagtailcleat/agent/task_monitor.py
+++ b/wagtailcleat/agent/task_monitor.py
@@ -1,4 +1,4 @@
-"""Polls the worker: records ends, renews leases and evicts what must not go on."""
+"""Polls the worker: records ends, renews leases and evicts tasks that must stop."""
 
 import asyncio
 from collections.abc import Callable
--- a/wagtailcleat/batch/holders.py
+++ b/wagtailcleat/batch/holders.py
@@ -1,11 +1,11 @@
-"""Earlier owners of a shard, listed in the store until each is settled.
-
-An earlier owner that lost its store lease but can still reach agents may go on
-issuing grants, up to the bound in the settings. A holder is settled once it
-certainly issues no more grants of earlier epochs. The next owner has to know every
-unsettled holder, including one before a claimant that died during its takeover. So
-a claim adds its predecessor to a list in the same transaction, and only an owner
-that has settled all of them clears the list.
+"""Earlier holders of a shard, listed in the store until each is settled.
+
+A holder is a process that owned or claimed the shard. An earlier holder that lost its
+store lease but can still reach agents may go on issuing grants, up to the bound in the
+settings. A holder is settled once it certainly issues no more grants of earlier epochs.
+The next owner has to know every unsettled holder, including one before a holder that
+died during its takeover. So a claim adds its predecessor to a list in the same
+transaction, and only an owner that has settled all of them clears the list.
 """
 
 import msgspec
--- a/wagtailcleat/batch/journal.py
+++ b/wagtailcleat/batch/journal.py
@@ -99,7 +99,10 @@
     _wake: asyncio.Event = field(default_factory=asyncio.Event)
 
     async def commit(self, events: list[AnyEvent]) -> CommitOutcome:
-        """Write events and return the outcome once it is known or in doubt for good."""
+        """Write events and return the outcome once it is known or in doubt for good.
+
+        A doubt is final once this owner is deposed or `run` is cancelled in a write.
+        """
         if self.deposed.is_set():
             return CommitOutcome.DEPOSED
         done: asyncio.Future[CommitOutcome] = asyncio.get_running_loop().create_future()
@@ -216,7 +219,8 @@
         if isinstance(epoch, Unavailable) or isinstance(stored, Unavailable):
             return None
         if isinstance(epoch, Absent) or epoch.value != self.epoch_value:
-            # The next owner may have read the entry and included it in a snapshot.
+            # The next owner may have read the entry and included it in a snapshot, so
+            # an absent entry does not prove that it was not written.
             self.deposed.set()
             return CommitOutcome.UNKNOWN if unknown else CommitOutcome.DEPOSED
         if has_assignments and await self.refresh_zones():
--- a/wagtailcleat/batch/penalties.py
+++ b/wagtailcleat/batch/penalties.py
@@ -1,9 +1,9 @@
-"""Slowdown of services by job classes, as agents report it to a shard's owner.
+"""Penalties of job classes, as agents report them to a shard's owner.
 
-Each agent estimates the slowdown (the penalty) for the services on its own VM and
-sends it with each answer to a reservation. The placer applies it to every VM with
-the same services, so that a combination known to be bad on one VM is not tried on
-all the others.
+A penalty is the worst relative slowdown of any of a VM's services per core of a job
+class. Each agent estimates it for its own VM and sends it with each answer to a
+reservation. The placer applies it to every VM with the same services, so that a
+combination known to be bad on one VM is not tried on all the others.
 """
 
 from dataclasses import dataclass, field
@@ -17,11 +17,12 @@
 LEVEL_THRESHOLDS = (0.005, 0.015, 0.04)
 """Slowdown per core at which a VM moves to the next level and is tried later."""
 MAX_PAIRS = 10_000
+"""Beyond this number of pairs, the one that was inserted first is dropped."""
 
 
 @dataclass
 class Penalties:
-    """Smoothed slowdown per core, by a VM's services and a job class."""
+    """Smoothed penalties, by a VM's services and a job class."""
 
     slowdown_by_pair: dict[tuple[ServiceNames, str], float] = field(
         default_factory=dict
@@ -36,7 +37,7 @@
         job_class: str,
         penalty: float | None,
     ) -> None:
-        """Add the slowdown that an agent reported; ignore None.
+        """Add the penalty that an agent reported; ignore None.
 
         An agent reports None for a job class that it has no estimate for.
         """
@@ -57,7 +58,10 @@
         )
 
     def level(self, configuration: Configuration, vm: VmName, job_class: str) -> int:
-        """Return a VM's level: VMs of level 0 are tried first, higher ones later."""
+        """Return how many thresholds a VM's penalty exceeds.
+
+        VMs of lower levels are tried first.
+        """
         pair = (self._services_on(configuration, vm), job_class)
         penalty = self.slowdown_by_pair.get(pair, 0.0)
         return sum(penalty > limit for limit in LEVEL_THRESHOLDS)
--- a/wagtailcleat/batch/shard.py
+++ b/wagtailcleat/batch/shard.py
@@ -30,7 +30,8 @@
     """One shard, as its owner sees it.
 
     `wake` makes the owner's loop run before its next interval;
-    `grant_bound_by_attempt` holds when each grant has lapsed at the latest.
+    `grant_bound_by_attempt` holds, for each attempt, the time by which its grant has
+    certainly expired; `in_force` is the configuration in force.
     """
 
     id: ShardId
@@ -57,7 +58,7 @@
         return self.journal.record
 
     def grant_bound_from(self, now: float) -> float:
-        """Return when a grant issued up to `now` has lapsed at the latest."""
+        """Return the time by which a grant issued up to `now` has expired."""
         return now + self.timing.grant * GRANT_MARGIN_FACTOR
 
     async def commit_all(self, events: list[AnyEvent]) -> bool:
--- a/wagtailcleat/batch/takeover.py
+++ b/wagtailcleat/batch/takeover.py
@@ -1,6 +1,7 @@
 """Takeover of a shard: settle earlier owners, and ask agents what they run.
 
-It runs beside the new owner's own loop until both are done.
+It runs beside the new owner's own loop until both are done. An earlier owner that
+can't be reached is settled by time alone, once all its grants have expired.
 """
 
 import asyncio
@@ -82,6 +83,8 @@
         )
         pairs = zip(self._unsettled, settled, strict=True)
         self._unsettled = [holder for holder, is_done in pairs if not is_done]
+        # Time alone settles an owner that can't be reached, once all its grants have
+        # expired.
         if shard.clock() > self._initial_bound:
             self._unsettled = []
         if not self._unsettled:
--- a/wagtailcleat/cluster/claims.py
+++ b/wagtailcleat/cluster/claims.py
@@ -174,11 +174,13 @@
             self._own_info.host,
             self._own_info.port,
         )
-        # The end of the previous leader proves nothing about earlier ones, unless it
-        # outlived their leases.
+        # That the previous leader stopped proves nothing about the leaders before it,
+        # unless the previous leader outlived their leases.
         predecessors_expired = reason.is_predecessor_stopped and (
             last_read.heartbeat.predecessors_expired or last_read.leader.epoch == 0
         )
+        # A retry keeps the first sending time: the first claim may have been written,
+        # and the lease counts from when it was sent.
         sent_at = self.sent_at = self.sent_at or self._clock()
         outcome = await self._write_claim(leader, predecessors_expired)
         if not isinstance(outcome, Unknown):
--- a/wagtailcleat/cluster/following.py
+++ b/wagtailcleat/cluster/following.py
@@ -42,7 +42,10 @@
 COALESCE_SECONDS = 0.004
 """Pause before a report of a change, so that one report has all ends of a moment."""
 SEARCHES_PER_STORE_READ = 3
-"""Searches without success per read of the store, where each call is charged."""
+"""Searches without success per read of the store.
+
+The platform counts each call of the store as a cost.
+"""
 
 MakeReport = Callable[[Epoch, int], Report]
 """Returns an agent's report, given its epoch and the last orders' number."""
@@ -165,9 +168,9 @@
             # for this agent may have begun before this report.
             return False
         if report.listed:
-            # Runs continue after this for as long as the leader assumes. If the report
-            # lists no runs, the leader does not know what runs here, so the report
-            # must not prolong the runs.
+            # Runs continue after this for as long as the leader assumes. A report
+            # without a list of runs, unlike one with an empty list, does not tell the
+            # leader what runs here, so it must not prolong the runs.
             self.contact_at = sent_at
         self.valid_until = sent_at + answer.valid_seconds
         self._delta.answered(report, seconds=self._clock() - sent_at)
--- a/wagtailcleat/command_line.py
+++ b/wagtailcleat/command_line.py
@@ -1,4 +1,8 @@
-"""The exit codes and the entry point that the three command lines share."""
+"""The exit codes and the entry point that the three command lines share.
+
+The programs are wagtailcleat, wagtailcleat-entry and wagtailcleat-agent. They exit with
+0 on success, 2 on wrong usage, 130 when interrupted, or the code of their command.
+"""
 
 import sys
 
--- a/wagtailcleat/wire/attempts.py
+++ b/wagtailcleat/wire/attempts.py
@@ -29,7 +29,7 @@
     job_class: str
     urgent: bool = False
     penalty: float | None = None
-    """Slowdown of the same services by one core of the job class on other VMs.
+    """Slowdown that one core of the job class caused to the same services on other VMs.
 
     None if it is unknown.
     """
@@ -82,6 +82,7 @@
     FAILED = "failed"
     EVICTED = "evicted"
     LAPSED = "lapsed"
+    """The grant expired."""
     NEVER_STARTED = "never_started"
 
 
--- a/wagtailcleat/wire/keepalive.py
+++ b/wagtailcleat/wire/keepalive.py
@@ -37,6 +37,7 @@
         self._writer = writer
         self._timing = timing
         self._closes_idle = closes_idle
+        # Silence is measured from this time.
         self._received_at = 0.0
         self._call_made = asyncio.Event()
 
@@ -63,7 +64,7 @@
             slept_at = loop.time()
             await asyncio.sleep(timing.ping)
             now = loop.time()
-            # This process itself was paused, and may not have read the peer's bytes.
+            # If this process was paused, it may not have read the peer's bytes.
             if now - slept_at > timing.silence:
                 self._received_at = now
             silent_seconds = now - self._received_at
--- a/wagtailcleat/wire/request_ids.py
+++ b/wagtailcleat/wire/request_ids.py
@@ -5,9 +5,10 @@
 the one agent incarnation where the request may run, so that it runs at most once,
 whichever entry forwards it. The MAC proves that an entry of this deployment issued it.
 
-A series is the ids of one entry incarnation and one kind; its numbers only grow. So an
-agent that has forgotten a request still knows that this request, and all before it in
-its series, must not be run any more.
+A series is the ids of one entry incarnation and one kind; a series of keyed ids also
+belongs to one agent incarnation. The numbers of a series only grow. So an agent that
+has forgotten a request still knows that this request, and all before it in its series,
+must not be run any more.
 """
 
 import hmac
@@ -68,8 +69,12 @@
 
 
 def series_and_number(request: RequestId) -> tuple[str, int] | None:
-    """Return the series of an id and its number there; None if it has none."""
+    """Return the series of an id and its number there; None if it has none.
+
+    A number has at most 18 digits.
+    """
     series, _, last = request.rpartition(".")
+    # A MAC is hexadecimal, so it never starts with "r".
     if not last.startswith("r"):
         series, _, last = series.rpartition(".")
     kind, number = last[:1], last[1:]
